--- a/src/core/change.h
+++ b/src/core/change.h
@@ -1,13 +1,17 @@
-/* change: changes of primary, and who may use one meanwhile. */
+/* change: promotions, and leases on the primary.
+ *
+ * A promotion claims a higher term in the group's object, raises the term of
+ * enough servers, chooses the most advanced one and names it in the object.
+ */
 #ifndef SS_CHANGE_H
 #define SS_CHANGE_H
 
 #include "core/node.h"
 #include "proto/peer.pb-c.h"
 
-/* --- promote.c: changes of primary --- */
+/* --- promote.c: promotions --- */
 
-/* A list of the vms that a claim waits for. */
+/* State of the list of VMs that a claim needs to find the lease holders. */
 typedef enum
 {
   SS_LIST_NONE,
@@ -16,6 +20,19 @@
   SS_LISTED
 } SsListing;
 
+/* Steps of a promotion:
+ *
+ *   IDLE        none is running
+ *   ADOPT       names a primary that servers already follow
+ *   CLAIM       writes the claim to the group's object
+ *   CLAIM_READ  reads whether a claim with a lost answer took effect
+ *   RAISE       raises the servers' terms and has leases released
+ *   DUTY        writes the duty object to get a fencing token
+ *   CALL        the platform is called to promote the chosen server
+ *   LEAD        waits until the chosen server leads the term
+ *   NAME        writes the primary's name to the group's object
+ *   NAME_READ   reads whether that write, with a lost answer, took effect
+ */
 #define SS_PROMOTE_STEPS(X)                                                    \
   X (IDLE, "idle")                                                             \
   X (ADOPT, "adopt")                                                           \
@@ -43,114 +60,140 @@
   uint64_t seen_term;
   int64_t since_ms; /* of the step */
   int64_t started_ms;
-  int64_t retry_ms; /* no new try before */
+  int64_t retry_ms; /* no new attempt before this */
   int64_t asked_ms;
   uint64_t call;
   uint64_t term;
   int64_t version;
   char operation[96];
-  char *wanted;  /* server ordered by an operator, or NULL */
-  char *leaving; /* server that must not be chosen, or NULL */
+  char *wanted;  /* server that an operator requests, or NULL */
+  char *leaving; /* primary to be replaced, never chosen; or NULL */
   char *chosen;
   bool ordered;
-  uint64_t order;     /* operation to be answered; 0: none */
-  GHashTable *raised; /* server -> SsPosition that it holds; by name, as
-                         servers may come and go meanwhile */
+  uint64_t order;     /* operator's call to be answered; 0: none */
+  GHashTable *raised; /* name -> SsPosition of its log; not by pointer, as
+                         servers may be added and removed meanwhile */
   int64_t enough_ms;  /* when enough servers were raised; 0: not yet */
-  uint32_t rank;      /* of this vm as the group's coordinator */
+  uint32_t rank;      /* of this VM as the group's coordinator */
   uint64_t rank_generation;
-  int64_t fence;        /* of the platform's promotion call */
-  SsPosition received;  /* the highest that a replica had */
-  int64_t received_ms;  /* when that last rose */
-  int64_t watched_ms;   /* when the replicas were last asked */
-  GHashTable *released; /* vms that know of the claim */
+  int64_t fence;        /* fencing token of the platform's promotion call */
+  SsPosition received;  /* the highest position of a replica */
+  int64_t received_ms;  /* when received last rose */
+  int64_t watched_ms;   /* when the replicas were last polled */
+  GHashTable *released; /* VMs that have adopted the claim */
   SsListing vms_listed; /* since the claim */
 } SsPromotion;
 
-/* The object whose holder may have the platform promote servers. */
+/* Key of the duty object: the VM that wrote it last may call the platform to
+ * promote servers, with its version as fencing token.
+ */
 #define SS_PROMOTE_DUTY_KEY "duty/failover"
 
-/* ss_promote_enter: begins STEP. */
+/* ss_promote_enter: starts STEP and its timeout. */
 void ss_promote_enter (SsNode *node, SsPromotion *promotion,
                        SsPromoteStep step);
+/* ss_promote_give_up: ends a failed promotion.  WHY goes to the log and to the
+ * operator who requested it, if any.
+ */
 void ss_promote_give_up (SsNode *node, SsPromotion *promotion, const char *why);
-/* ss_promote_put: writes the group's object with PRIMARY and its term. */
+/* ss_promote_put: writes the group's object with the promotion's term and
+ * PRIMARY, which is empty in a claim.
+ */
 void ss_promote_put (SsNode *node, SsPromotion *promotion, const char *primary);
 void ss_promote_tick (SsNode *node);
 void ss_promote_raised (SsNode *node, const Ss__Peer__RaiseReply *reply);
 void ss_promote_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
                         const SsObject *object);
-/* ss_promote_called: how the platform's promotion of a server ended. */
+/* ss_promote_called: handles the result of the platform's promotion call CALL.
+ */
 void ss_promote_called (SsNode *node, uint64_t call, SsPlatformOutcome outcome);
-/* ss_promote_order: an operator's order, answered as operation CALL. */
+/* ss_promote_order: starts a promotion of GROUP that an operator requests, to
+ * the server TO (NULL: any).  The result goes to operation CALL.
+ */
 void ss_promote_order (SsNode *node, const char *group, const char *to,
                        uint64_t call);
 SsPromotion *ss_promote_get (SsNode *node, const char *group);
-/* ss_promote_rank: this vm's place as GROUP's coordinator, from 0. */
+/* ss_promote_rank: returns this VM's rank as coordinator of the group, from 0.
+ */
 uint32_t ss_promote_rank (SsNode *node, SsPromotion *promotion);
-/* ss_promote_resumed: this vm was paused: what it saw before is void. */
+/* ss_promote_resumed: restarts failure detection after this VM was paused, as
+ * its observations are out of date.
+ */
 void ss_promote_resumed (SsNode *node);
 
-/* --- raise.c --- */
+/* --- raise.c: raising the servers' terms --- */
 
-/* ss_raise_tick: asks servers to take the claim's term, and goes on once
- * enough of them did.
+/* ss_raise_tick: asks the servers to raise their term to the claim's, and
+ * starts the next step once enough of them did.
  */
 void ss_raise_tick (SsNode *node, SsPromotion *promotion, const SsGroup *group);
 
-/* --- lease.c: use of a primary without asking its group --- */
+/* --- lease.c: use of a primary without asking its servers --- */
 
-/* The longest that a vm uses a primary after the platform confirmed it; a
- * change of primary waits for so long for a vm that does not answer.
+/* Length of a lease, in milliseconds from the request that the platform
+ * confirmed.  A promotion waits this long for a lease holder that does not
+ * answer.
  */
 #define SS_LEASE_MS 1800
 
+/* ss_lease_holds: whether this VM holds a valid lease on GROUP's primary. */
 bool ss_lease_holds (const SsNode *node, const SsGroup *group);
 void ss_lease_tick (SsNode *node);
-/* ss_lease_may_ask_servers: whether the platform answers no vm that this one
- * hears: then nobody here can change a primary, and a majority of its servers
- * can confirm it.
+/* ss_lease_may_ask_servers: whether a majority of the servers may confirm the
+ * primary in place of a lease.  With promotions by the platform, this requires
+ * that the platform answers neither this VM nor any VM that it hears: none of
+ * them can then start a promotion.
  */
 bool ss_lease_may_ask_servers (const SsNode *node);
 void ss_lease_ask (SsNode *node, const char *from,
                    const Ss__Peer__LeaseAsk *ask);
 void ss_lease_asker_free (gpointer asker);
 void ss_lease_reply (SsNode *node, const Ss__Peer__LeaseReply *reply);
-/* ss_lease_listed: the answer to a list of objects, adopted already. */
+/* ss_lease_listed: handles the result of a list request, whose objects are
+ * already adopted.
+ */
 void ss_lease_listed (SsNode *node, const SsEvent *event);
-/* ss_lease_list_vms: has the platform list the vms now. */
+/* ss_lease_list_vms: requests the list of VMs from the platform, unless a
+ * request is outstanding.
+ */
 void ss_lease_list_vms (SsNode *node);
-/* ss_lease_begin_release: a claim took effect: no vm may go on to use the
- * primary before it.
+/* ss_lease_begin_release: starts the release of all leases on the previous
+ * primary, after a claim took effect.
  */
 void ss_lease_begin_release (SsNode *node, SsPromotion *promotion);
+/* ss_lease_ask_release: asks the VMs that have not released their lease whether
+ * they have adopted the claim.
+ */
 void ss_lease_ask_release (SsNode *node, SsPromotion *promotion);
+/* ss_lease_is_released: whether no VM can use the previous primary any longer.
+ */
 bool ss_lease_is_released (SsNode *node, SsPromotion *promotion);
 void ss_lease_claim_ask (SsNode *node, const char *from,
                          const Ss__Peer__ClaimAsk *ask);
 void ss_lease_claim_reply (SsNode *node, const char *from,
                            const Ss__Peer__ClaimReply *reply);
 
-/* --- lead.c: promotions that the platform carries out --- */
+/* --- lead.c: promotions carried out by the platform --- */
 
-/* ss_lead_is_coordinator: whether this vm orders promotions; never while it
- * is unsure who lives.
+/* ss_lead_is_coordinator: whether this VM starts promotions.  False in the
+ * grace period after the loss of its relays (ss_members_is_unsure).
  */
 bool ss_lead_is_coordinator (SsNode *node);
-/* ss_lead_term: the term that a new primary of GROUP will lead. */
+/* ss_lead_term: returns the term that a new primary of GROUP will lead. */
 uint64_t ss_lead_term (const SsGroup *group);
-/* ss_lead_adopt: where servers follow a primary that GROUP does not name,
- * begins to name it; returns whether it did.
+/* ss_lead_adopt: starts to name the primary in GROUP's object if a server leads
+ * a term that the object does not have.  Returns whether it did.
  */
 bool ss_lead_adopt (SsNode *node, SsPromotion *promotion, SsGroup *group);
-/* ss_lead_watch: looks at the replicas while their primary is missed. */
+/* ss_lead_watch: polls the replicas while their primary is unreachable. */
 void ss_lead_watch (SsNode *node, SsPromotion *promotion, const SsGroup *group);
+/* ss_lead_is_suspect: whether the primary of GROUP is considered failed. */
 bool ss_lead_is_suspect (SsNode *node, const SsPromotion *promotion,
                          const SsGroup *group);
-/* ss_lead_begin: has the platform promote the server that was chosen. */
+/* ss_lead_begin: starts the platform's promotion of the chosen server. */
 void ss_lead_begin (SsNode *node, SsPromotion *promotion);
 void ss_lead_tick (SsNode *node, SsPromotion *promotion);
-/* ss_lead_duty: how the write of the duty's object ended. */
+/* ss_lead_duty: handles the result of a read or write of the duty object. */
 void ss_lead_duty (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
                    const SsObject *object);
 
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -436,7 +436,7 @@
 void ss_hold_report (SsNode *node, SsTarget *target, uint64_t ask,
                      const SsServerState *state);
 
-/* --- monitor.c: the control connection of a target owned here --- */
+/* --- monitor.c: the control connection of a target that this VM owns --- */
 
 void ss_monitor_tick (SsNode *node, SsOwned *owned);
 void ss_monitor_ready (SsNode *node, SsOwned *owned);
@@ -447,39 +447,46 @@
                      const Ss__Peer__StatusAsk *ask);
 void ss_monitor_subscribe (SsNode *node, const char *from,
                            const Ss__Peer__Subscribe *subscribe);
-/* ss_monitor_answer: answers the asks that the target's state satisfies. */
+/* ss_monitor_answer: answers the status requests that the target's state
+ * satisfies or that have expired.
+ */
 void ss_monitor_answer (SsNode *node, SsOwned *owned);
 void ss_monitor_raise (SsNode *node, const char *from,
                        const Ss__Peer__RaiseAsk *ask);
-/* ss_monitor_poll_soon: polls at once, or right after what runs now. */
+/* ss_monitor_poll_soon: polls at once, or after the statement that is running.
+ */
 void ss_monitor_poll_soon (SsNode *node, SsOwned *owned);
 
-/* --- relay.c: who lives, where vms are many --- */
+/* --- relay.c: failure detection through relays, for many VMs --- */
 
 void ss_relay_init (SsNode *node);
 void ss_relay_finish (SsNode *node);
-/* ss_relay_beat: sends BEAT to the relays, and reports as one of them. */
+/* ss_relay_beat: sends the heartbeat BEAT to the relays, and reports to other
+ * relays if this VM is one.
+ */
 void ss_relay_beat (SsNode *node, SsEnvelope *beat);
-/* ss_relay_answer: tells VM, which has the digest KNOWN_HASH, who lives. */
+/* ss_relay_answer: answers a heartbeat of VM with a digest, which is full
+ * unless VM has the one with KNOWN_HASH.
+ */
 void ss_relay_answer (SsNode *node, const char *vm, uint64_t known_hash);
 void ss_relay_digest (SsNode *node, const char *from,
                       const Ss__Peer__Digest *digest);
 void ss_relay_report (SsNode *node, const char *from,
                       const Ss__Peer__DomainReport *report);
 
-/* --- views.c: which vms the relays say are live --- */
+/* --- views.c: which VMs the relays report as live --- */
 
 void ss_views_init (SsNode *node);
 void ss_views_finish (SsNode *node);
-/* ss_views_hash: of the list that VM last sent in full; 0: none. */
+/* ss_views_hash: returns the hash of the last full list from VM, or 0. */
 uint64_t ss_views_hash (const SsNode *node, const char *vm);
-/* ss_views_keep: FROM, a relay of FAILURE_DOMAIN, sent its list in full.  What
- * it leaves out since, and no other relay there lists, is dead.
+/* ss_views_keep: stores a full list from FROM, a relay of FAILURE_DOMAIN.  A VM
+ * that was in its previous list, and that no relay there lists now, is dead.
  */
 void ss_views_keep (SsNode *node, const char *from, const char *failure_domain,
                     uint64_t hash, Ss__Peer__VmState **vms, size_t count);
-/* ss_views_refresh: the vms of FROM's last list are live still; REMOTE: it
- * relays for their failure domain.
+/* ss_views_refresh: records that FROM's last list is still valid.  REMOTE: FROM
+ * is a relay of another failure domain.
  */
 void ss_views_refresh (SsNode *node, const char *from, bool remote);
 
--- a/src/core/lead.c
+++ b/src/core/lead.c
@@ -4,28 +4,37 @@
 
 #include "core/internal.h"
 
-/* A refusing address is a crash; a silent one may be a short cut. */
+/* A refused connection means a crash; no answer may be a short network
+ * partition.
+ */
 #define REFUSED_DOWN_MS 300
 #define SILENT_DOWN_MS 1000
-/* No report of its owner either. */
+/* Used where the owner does not report the primary as unreachable, or replicas
+ * still receive from it.
+ */
 #define UNREPORTED_DOWN_MS 5000
-/* Replicas of a missed primary are asked this often, and count as receiving
- * for so long after their last news.
+/* Interval of status requests to the replicas of an unreachable primary, and
+ * how long the replicas count as receiving after their highest position last
+ * rose.
  */
 #define WATCH_MS 200
 #define RECEIVED_MS 450
+/* A report older than this is stale. */
 #define FRESH_REPORT_MS 1500
-/* A primary whose entry is gone counts after the vm has run for so long. */
+/* Uptime of this VM from which a primary without a target entry counts as lost:
+ * before, the entry may not have arrived yet.
+ */
 #define SETTLED_MS 3000
-/* A first start of everything takes less than this. */
+/* The first start of a whole deployment takes less than this. */
 #define FIRST_NAMED_MS 15000
-/* A promotion is looked for this often, and called again where it does not
- * show.
+/* Interval at which the chosen server is asked whether it is promoted, and time
+ * after which the platform call is repeated.
  */
 #define LOOK_AGAIN_MS 60
 #define CALL_AGAIN_MS 1500
+/* Retry interval of the write of the duty object. */
 #define DUTY_AGAIN_MS 200
-/* Another vm's change is left to it for this long. */
+/* Another VM's promotion is not taken over for this long. */
 #define UNNAMED_MS 2500
 #define SUBJECT "promotions"
 
@@ -40,7 +49,7 @@
   return vm && strcmp (vm, node->params.vm) == 0;
 }
 
-/* Attempts that came to nothing raise no server's own term. */
+/* Failed attempts do not raise the term of any server. */
 uint64_t
 ss_lead_term (const SsGroup *group)
 {
@@ -57,7 +66,7 @@
   return t->state.reachable && node->now_ms - t->reachable_ms < FRESH_REPORT_MS;
 }
 
-/* The server that leads the highest term, or NULL. */
+/* Returns the server that leads the highest term, or NULL. */
 static const SsTarget *
 find_leader (SsNode *node, const SsGroup *group)
 {
@@ -102,7 +111,8 @@
   return true;
 }
 
-/* Notes whether the replicas of a primary that is missed still receive. */
+/* Tracks whether the replicas of an unreachable primary still receive from it.
+ */
 void
 ss_lead_watch (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
@@ -136,7 +146,9 @@
   const SsTarget *primary = ss_group_primary (group);
   int64_t down_ms = node->now_ms - p->primary_ok_ms;
 
-  /* A group that was never named: its servers may not all be listed yet. */
+  /* The group has never had a primary: not all of its servers may be listed
+   * yet.
+   */
   if (!group->version)
     return node->now_ms - node->started_ms >= FIRST_NAMED_MS
            && down_ms >= UNREPORTED_DOWN_MS;
@@ -151,16 +163,18 @@
     return down_ms >= UNREPORTED_DOWN_MS;
   if (primary->state.refused)
     return down_ms >= REFUSED_DOWN_MS;
-  /* Replicas that go on receiving hear a primary that others may reach. */
+  /* Replicas that still receive show that the primary runs: others may reach
+   * it.
+   */
   return down_ms >= (node->now_ms - p->received_ms < RECEIVED_MS
                          ? UNREPORTED_DOWN_MS
                          : SILENT_DOWN_MS);
 }
 
-/* --- the call --- */
+/* --- the call to the platform --- */
 
-/* Every call has a fence of its own: the version that the duty's object got
- * by this vm's write, right before it.
+/* Writes the duty object.  The version that this write gives the object is the
+ * fencing token of the platform call that follows; no two calls share one.
  */
 static void
 claim_duty (SsNode *node, SsPromotion *p)
@@ -246,7 +260,8 @@
          && g_strstr_len (object->value, object->value_bytes, p->operation);
 }
 
-/* A write whose answer was lost is looked up: it may have taken effect. */
+/* A write whose answer was lost may have taken effect, so the object is read.
+ */
 void
 ss_lead_duty (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
               const SsObject *object)
@@ -285,7 +300,7 @@
       ss_promote_give_up (node, p, "the platform does not run that server");
       return;
     }
-  /* Where the answer was lost, the server itself shows what became of it. */
+  /* A lost answer does not matter: the server's own state shows the outcome. */
   ss_promote_enter (node, p, SS_PROMOTE_LEAD);
 }
 
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -1,23 +1,27 @@
-/* lease: for how long a primary may be used without asking its group.
+/* lease: how long a VM may use a primary without asking the group's servers.
  *
- * The platform's object of a group names its primary.  Where the platform,
- * asked at some time, says that the object is still as this vm holds it, the
- * vm may take that primary for the only one for SS_LEASE_MS from that time.
- * A vm's own object names the groups that it holds leases for.  A change of
- * primary begins with a write to the group's object, and goes on only once
- * every holder has taken it over, by its word or by its object, or that time
- * has passed (ss_lease_is_released).  A vm that the platform does not answer
- * asks a majority of the servers instead (hold.c).
+ * The platform's object of a group names its primary.  When the platform
+ * confirms that the object is unchanged since this VM adopted it, the VM holds
+ * a lease: it may rely on that primary being the only one for SS_LEASE_MS from
+ * the time it sent the request.  A VM's own object names the groups that it
+ * holds leases on.  A promotion starts with a write to the group's object, the
+ * claim, and proceeds only when every holder has adopted the claim, which its
+ * reply or its object shows, or when all leases have expired
+ * (ss_lease_is_released).  Where the platform answers neither a VM nor any that
+ * it hears, the VM asks a majority of the servers instead (hold.c).
  */
 #include <string.h>
 
 #include "core/internal.h"
 
-/* Well below the lease, so that one lost answer does not end it. */
+/* Renewal interval: well below SS_LEASE_MS, so that a single lost answer does
+ * not let the lease expire.
+ */
 #define RENEW_MS 800
+/* Retry interval after a failed renewal. */
 #define RENEW_AGAIN_MS 200
 #define ASK_TIMEOUT_MS 1500
-/* The clocks of two vms run apart by less than this in a lease. */
+/* Bound on the clock drift between two VMs in the time of a lease. */
 #define DRIFT_MS 50
 
 bool
@@ -28,7 +32,7 @@
          && node->now_ms - group->confirmed_ms < SS_LEASE_MS;
 }
 
-/* --- the vms that a claim waits for --- */
+/* --- listing the holders that a claim waits for --- */
 
 static gboolean
 begin_listing (gpointer key, gpointer value, gpointer data)
@@ -43,7 +47,9 @@
   return FALSE;
 }
 
-/* One list is out at a time; a claim needs one that was asked for after it. */
+/* At most one list request is outstanding.  A claim needs a list that was
+ * requested after it took effect.
+ */
 static void
 list_vms (SsNode *node)
 {
@@ -85,7 +91,7 @@
   g_tree_foreach (node->promotions, end_listing, &state);
 }
 
-/* --- keeping it --- */
+/* --- renewing leases --- */
 
 static gboolean
 find_owned_primary (gpointer key, gpointer value, gpointer data)
@@ -113,7 +119,7 @@
 typedef struct
 {
   const SsNode *node;
-  GPtrArray *up; /* of names; NULL: only whether there is any */
+  GPtrArray *up; /* of names; NULL: only sets found */
   bool found;
 } Search;
 
@@ -145,7 +151,9 @@
   return !s.found;
 }
 
-/* The platform does not answer here: any vm that it answers will do. */
+/* Renews through a random live VM that the platform answers, as the platform
+ * does not answer this VM.
+ */
 static void
 ask_peer (SsNode *node)
 {
@@ -227,8 +235,8 @@
   g_free (versions);
 }
 
-/* Answers those who asked before the list was asked for; others need another
- * one.
+/* Answers the VMs that asked before the list was requested.  Later ones need a
+ * new list.
  */
 static void
 answer_askers (SsNode *node, const SsEvent *list, int64_t asked_ms)
@@ -260,8 +268,9 @@
     node->lease_due_ms = node->now_ms + RENEW_AGAIN_MS;
 }
 
-/* A lease counts only where this vm was listed as its holder before it asked:
- * who claims the group later then sees either the holder or its release.
+/* Extends the lease on group NAME.  A lease is valid only if this VM's object
+ * named it before the request was sent: a VM that claims the group later then
+ * sees either the holder or its release.
  */
 static void
 confirm (SsNode *node, const char *name, int64_t version, int64_t asked_ms)
@@ -312,10 +321,11 @@
   answer_askers (node, e, asked_ms);
 }
 
-/* --- ending it everywhere --- */
+/* --- releasing leases before a promotion --- */
 
-/* Every lease on a primary was confirmed before the platform's object named
- * none, and so before this vm held that object.
+/* Whether all leases on the previous primary have expired.  Each was confirmed
+ * before the platform's object stopped naming a primary, and so before this VM
+ * adopted that object.
  */
 static bool
 is_over (const SsNode *node, const SsPromotion *p)
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -156,8 +156,9 @@
   members->unsure_until_ms = now_ms + SS_MEMBER_UNSURE_MS;
 }
 
-/* Whether MEMBER was known through the relays that were lost.  One that was
- * heard itself, as they were, is missed for itself.
+/* Whether M keeps its liveness in the grace period: it was known only through
+ * the relays that were lost.  A VM that was heard directly around the time of
+ * the loss times out on its own.
  */
 static bool
 is_kept (const SsMembers *members, const SsMember *m, int64_t now_ms)
@@ -178,7 +179,7 @@
     return true;
   if (members->relayed)
     return is_kept (members, m, now_ms);
-  /* Never heard: it takes no role before its first heartbeat. */
+  /* A VM takes no role before its first heartbeat. */
   if (!m->live)
     return false;
   g_tree_foreach (members->by_name, count_witness, &v);
@@ -239,7 +240,7 @@
 typedef struct
 {
   const char *failure_domain;
-  bool platform_up; /* only vms that the platform answers */
+  bool platform_up; /* only VMs that the platform answers */
   const char *subject;
   const SsMember *best;
   uint64_t best_score;
@@ -391,13 +392,13 @@
   const SsMembers *members;
   const char *failure_domain;
   int64_t now_ms;
-  bool live; /* else those that are listed, but not known as live */
+  bool live; /* live VMs; else those that are listed but not live */
   const SsMember *best[SS_MEMBERS_RELAYS];
   uint64_t scores[SS_MEMBERS_RELAYS];
   uint32_t wanted;
 } Relays;
 
-/* After its relays were lost a vm needs one that it hears. */
+/* After the loss of its relays a VM needs new ones that it hears directly. */
 static bool
 may_relay_live (const Relays *r, const SsMember *m)
 {
@@ -458,8 +459,8 @@
       g_ptr_array_add (out, r->best[i]->vm);
 }
 
-/* Where relays are lost, nobody is known as live any more: then those that the
- * platform lists are tried by their rank.
+/* After the loss of its relays a failure domain may have no VM known as live.
+ * The VMs that the platform lists are then tried in the order of their rank.
  */
 void
 ss_members_relays (const SsMembers *members, const char *failure_domain,
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -1,8 +1,10 @@
-/* members: which vms are live, from the platform's lagging list and from
- * heartbeats, and which vm holds a role.
+/* members: cluster membership: which VMs are live, and which VM holds a role.
  *
- * A vm is dead only when this vm misses it and at least half of the vms that
- * this one hears miss it too.
+ * Liveness comes from heartbeats and from the platform's list of VMs, which
+ * lags.  A VM is dead only when its heartbeats time out here and at least half
+ * of the VMs whose heartbeats arrive here do not receive its heartbeats either.
+ * Where relays report (see relay.c), they decide instead of that vote.  Times
+ * are in milliseconds of the node's clock.
  */
 #ifndef SS_MEMBERS_H
 #define SS_MEMBERS_H
@@ -11,23 +13,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* Timeout of heartbeats. */
 #define SS_MEMBER_SILENCE_MS 800
-/* After a lost connection only this much silence is allowed. */
+/* What is left of the timeouts after a connection broke. */
 #define SS_MEMBER_LOST_SILENCE_MS 250
+/* A VM that is neither listed nor heard is removed after this time. */
 #define SS_MEMBER_FORGET_MS 30000
-/* A vm that relays report as live is taken for so for this long: two reports
- * and what they take.
+/* A relay's report that a VM is live is valid for this long: two report
+ * intervals plus the time in transit.
  */
 #define SS_MEMBER_REPORTED_MS 1200
-/* So many vms hear all others without a cost that matters. */
+/* Up to this many VMs send heartbeats to all others at negligible cost; more
+ * use relays.
+ */
 #define SS_MEMBERS_MESH_MAX 12
-/* Of relays in a failure domain: one may be lost unnoticed. */
+/* Relays in each failure domain.  With two, one may fail without effect. */
 #define SS_MEMBERS_RELAYS 2
-/* After its relays are lost a vm may know of no other for so long: a beat to
- * the new ones, of these to the relays of other failure domains, and back.
+/* Grace period after all relays are lost, in which a VM may know of no other:
+ * a heartbeat to the new relays, a report from these to the relays of other
+ * failure domains, and the answers.
  */
 #define SS_MEMBER_UNSURE_MS 1200
-/* A listed vm that does not answer as a relay in time is left out for a while.
+/* A VM that is listed but not live and does not answer as a relay within TRY
+ * is not tried again for AGAIN.
  */
 #define SS_MEMBER_RELAY_TRY_MS 1000
 #define SS_MEMBER_RELAY_AGAIN_MS 3000
@@ -38,18 +46,18 @@
   char *failure_domain;
   char *ip;
   uint16_t peer_port;
-  bool listed;
-  bool leaving;
-  bool platform_up; /* the platform answers it */
-  bool live;        /* as of the last ss_members_update */
-  int64_t heard_ms;
-  int64_t reported_ms; /* when another vm last said that it is live */
-  int64_t remote_ms;   /* when its failure domain's relay last said so */
+  bool listed;         /* the platform lists it as live */
+  bool leaving;        /* it is in its graceful shutdown */
+  bool platform_up;    /* the platform answers it */
+  bool live;           /* as of the last ss_members_update */
+  int64_t heard_ms;    /* when its last message arrived */
+  int64_t reported_ms; /* when another VM last reported it live */
+  int64_t remote_ms;   /* when its failure domain's relay last did */
   int64_t relays_ms;   /* when it last sent its failure domain's report */
   int64_t added_ms;
   int64_t relay_tried_ms; /* since when it is tried as a relay; 0: it is not */
-  int64_t relay_again_ms; /* it is not tried before */
-  GHashTable *heard;      /* names that it hears */
+  int64_t relay_again_ms; /* not tried as a relay before this */
+  GHashTable *heard;      /* names of the VMs whose heartbeats it receives */
 } SsMember;
 
 typedef struct
@@ -57,12 +65,12 @@
   GTree *by_name;
   char *self;
   char *failure_domain;
-  uint64_t generation; /* moves with every change of liveness */
-  bool relayed;        /* too many for each to hear all: relays report */
+  uint64_t generation; /* incremented when a VM's liveness or leaving changes */
+  bool relayed;        /* too many VMs for a full mesh: relays report */
   bool settled;        /* see ss_members_is_settled */
   bool settled_known;
-  int64_t told_ms;         /* when a relay last answered; 0: since then lost */
-  int64_t lost_told_ms;    /* told_ms of the relays that were lost */
+  int64_t told_ms;         /* when a relay last answered; 0: relays lost */
+  int64_t lost_told_ms;    /* told_ms when the relays were lost */
   int64_t unsure_until_ms; /* see ss_members_is_unsure */
 } SsMembers;
 
@@ -71,69 +79,80 @@
                       uint16_t peer_port, int64_t now_ms);
 void ss_members_finish (SsMembers *members);
 
-/* ss_members_find: NULL where VM is unknown. */
+/* ss_members_find: returns the member named VM (borrowed), or NULL. */
 SsMember *ss_members_find (const SsMembers *members, const char *vm);
 
-/* ss_members_add: finds or adds VM and sets its place. */
+/* ss_members_add: finds or adds VM and sets its failure domain and address. */
 SsMember *ss_members_add (SsMembers *members, const char *vm,
                           const char *failure_domain, const char *ip,
                           uint16_t peer_port);
 
-/* ss_members_heard: a heartbeat of MEMBER, which hears the COUNT vms named. */
+/* ss_members_heard: records a heartbeat of MEMBER, which receives the
+ * heartbeats of the COUNT VMs in HEARD.
+ */
 void ss_members_heard (SsMembers *members, SsMember *member, bool leaving,
                        char **heard, size_t count, int64_t now_ms);
-/* ss_members_lost: a connection of VM broke; shortens the silence allowed. */
+/* ss_members_lost: records that a connection to VM broke, which shortens its
+ * timeouts to SS_MEMBER_LOST_SILENCE_MS.
+ */
 void ss_members_lost (SsMembers *members, const char *vm, int64_t now_ms);
 
-/* ss_members_update: judges liveness anew; CHANGED is called for each vm
- * that became live or dead.  Forgets vms neither listed nor heard.
+/* ss_members_update: re-evaluates liveness and calls CHANGED for each VM that
+ * became live or dead.  Removes dead VMs that are not listed and were not heard
+ * for SS_MEMBER_FORGET_MS.
  */
 void ss_members_update (SsMembers *members, int64_t now_ms,
                         void (*changed) (void *data, const SsMember *member),
                         void *data);
 
-/* ss_members_owner: the live vm of FAILURE_DOMAIN (NULL: any) that ranks
- * first for SUBJECT, or NULL.
+/* ss_members_owner: returns the live VM of FAILURE_DOMAIN (NULL: any) that
+ * ranks first for SUBJECT by rendezvous hashing, or NULL.
  */
 const char *ss_members_owner (const SsMembers *members,
                               const char *failure_domain, const char *subject);
-/* ss_members_rank: this vm's place for SUBJECT among the live vms, from 0. */
+/* ss_members_rank: returns this VM's rank for SUBJECT among the live VMs of
+ * FAILURE_DOMAIN (NULL: any), from 0.
+ */
 uint32_t ss_members_rank (const SsMembers *members, const char *failure_domain,
                           const char *subject);
-/* ss_members_reported: others say that MEMBER is live. */
+/* ss_members_reported: records a relay's report that MEMBER is live. */
 void ss_members_reported (SsMembers *members, SsMember *member, bool leaving,
                           bool platform_up, int64_t now_ms);
-/* ss_members_told: a relay answered this vm, or this vm relays itself. */
+/* ss_members_told: records that a relay answered this VM, or that this VM is a
+ * relay itself.
+ */
 void ss_members_told (SsMembers *members, int64_t now_ms);
-/* ss_members_is_unsure: the relays were lost a short time ago.  The vms of the
- * own failure domain are taken for what they were; that others are missed says
- * nothing.
+/* ss_members_is_unsure: whether the grace period after the loss of all relays
+ * runs.  Members of this VM's failure domain that were known through those
+ * relays keep their liveness meanwhile; the absence of others proves nothing.
  */
 bool ss_members_is_unsure (const SsMembers *members, int64_t now_ms);
-/* ss_members_relays: adds to OUT the names (borrowed) of the vms that relay
+/* ss_members_relays: adds to OUT the names (borrowed) of the VMs that relay
  * for FAILURE_DOMAIN.
  */
 void ss_members_relays (const SsMembers *members, const char *failure_domain,
                         int64_t now_ms, GPtrArray *out);
-/* ss_members_is_watcher: whether this vm watches the platform for its failure
- * domain: fewer than SS_MEMBERS_RELAYS vms that rank before it are answered
- * by the platform.
+/* ss_members_is_watcher: whether this VM watches the platform for its failure
+ * domain: the platform answers fewer than SS_MEMBERS_RELAYS live VMs there that
+ * rank before it.
  */
 bool ss_members_is_watcher (const SsMembers *members);
-/* ss_members_collect_silent: adds to OUT the vms (borrowed) that are known
- * since before SINCE_MS and that nobody heard after it; never this one.
+/* ss_members_collect_silent: adds to OUT the VMs (borrowed) that have been
+ * known since before SINCE_MS and have been neither heard nor reported after
+ * it; never this VM.
  */
 void ss_members_collect_silent (const SsMembers *members, int64_t since_ms,
                                 GPtrArray *out);
-/* ss_members_coordinator: the live vm that the platform answers and that ranks
- * first for SUBJECT, or NULL.
+/* ss_members_coordinator: returns the VM that ranks first for SUBJECT among the
+ * live VMs that the platform answers, or NULL.
  */
 const char *ss_members_coordinator (const SsMembers *members,
                                     const char *subject);
-/* ss_members_set_listed: whether the platform lists MEMBER as live. */
+/* ss_members_set_listed: sets whether the platform lists MEMBER as live. */
 void ss_members_set_listed (SsMembers *members, SsMember *member, bool listed);
-/* ss_members_is_settled: no vm of this failure domain is listed but dead.
- * Asked for each statement, so the answer is kept until something changes.
+/* ss_members_is_settled: whether every VM of this failure domain that the
+ * platform lists is live.  The result is cached until membership changes, since
+ * it is needed for each statement.
  */
 bool ss_members_is_settled (SsMembers *members);
 
--- a/src/core/monitor.c
+++ b/src/core/monitor.c
@@ -5,7 +5,9 @@
 #define CONTROL_RETRY_MS 100
 #define CONTROL_TIMEOUT_MS 3000
 #define CONNECT_TIMEOUT_MS 1000
+/* How long a status request without a position waits for a poll. */
 #define ASK_HOLD_MS 80
+/* A subscription expires after this unless it is renewed. */
 #define SUBSCRIPTION_MS 3500
 
 /* --- reports --- */
@@ -107,6 +109,7 @@
     }
 }
 
+/* How long a status request waits for the position that it names. */
 #define HELD_HOLD_MS 400
 
 void
@@ -129,7 +132,7 @@
       send_report (node, owned, ask->vm, ask->ask);
       g_ptr_array_remove_index (owned->asks, i - 1);
     }
-  /* What was answered without a poll needs none. */
+  /* No poll is needed once no request is left. */
   if (!owned->asks->len && ss_dialect_keeps_sessions (node->dialect))
     owned->poll_due_ms = MAX (
         owned->poll_due_ms, owned->polled_ms + node->params.pace.poll_idle_ms);
@@ -159,8 +162,8 @@
                  node->dialect->status (node->dialect));
 }
 
-/* What the server has to be told so that it is what the group says; NULL
- * where nothing has to be.
+/* Returns the SQL that gives the server the role that its group's configuration
+ * says, to be freed, or NULL if it already has that role.
  */
 static char *
 reconcile (SsNode *node, SsOwned *owned, SsControlStep *step)
@@ -210,7 +213,7 @@
   owned->raise_term = 0;
 }
 
-/* The next thing to do on an idle control connection. */
+/* Starts the next statement on an idle control connection. */
 static void
 next_step (SsNode *node, SsOwned *owned)
 {
@@ -219,7 +222,7 @@
 
   if (!owned->control || owned->control->state != SS_CONNECTION_IDLE)
     return;
-  /* A raise is answered from a poll made after it. */
+  /* Raise requests are answered from a poll that starts after the raise. */
   if (owned->raise_term && owned->target->state.shown_term < owned->raise_term)
     {
       start_control (node, owned, SS_CONTROL_RAISE,
@@ -267,7 +270,7 @@
   SsServerState state = { 0 };
   SsGroup *group = ss_owned_group (node, owned);
 
-  /* Any answer shows that the server lives. */
+  /* Any answer, also an error, shows that the server is reachable. */
   t->reachable_ms = node->now_ms;
   if (!result->ok
       || !node->dialect->read_status (node->dialect, result->row,
@@ -285,7 +288,9 @@
     ss_hold_check (node, group);
 }
 
-/* When the first of the asks needs a poll. */
+/* Returns the time, in milliseconds, until the first status request needs a
+ * poll.
+ */
 static int64_t
 asked_wait_ms (SsNode *node, const SsOwned *owned)
 {
@@ -327,7 +332,7 @@
     }
   else
     {
-      /* What came of it is seen by a poll. */
+      /* A poll shows the effect of the statement. */
       owned->poll_due_ms = node->now_ms;
       if (step == SS_CONTROL_RAISE)
         owned->target->state.shown_term
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -4,16 +4,21 @@
 
 #include "core/internal.h"
 
-/* A crash is seen by its refused connections and by its replicas. */
+/* A crash shows by refused connections and by replicas that hear nothing from
+ * the primary.
+ */
 #define CRASH_DOWN_MS 300
 #define CRASH_SILENCE_MS 250
-/* A frozen or cut-off primary answers nobody; a slow one still does. */
+/* A frozen or partitioned primary answers nobody; a slow one still does. */
 #define SILENT_DOWN_MS 1500
 #define SILENT_SILENCE_MS 1000
-/* Replicas hear the primary, but no vm reaches it. */
+/* Replicas hear the primary, but no VM reaches it. */
 #define UNREACHED_DOWN_MS 5000
+/* Delay for each coordinator rank, so that the first one normally acts alone.
+ */
 #define RANK_DELAY_MS 500
 #define RANKS 3
+/* A claim that has named no primary for this long counts as abandoned. */
 #define UNNAMED_DOWN_MS 1500
 #define FRESH_VIEW_MS 1500
 #define STEP_TIMEOUT_MS 4000
@@ -93,8 +98,8 @@
   g_free (text);
 }
 
-/* Before its claim took effect a promotion has changed nothing; after it the
- * term is higher, and another promotion will follow.
+/* Until the claim takes effect, a promotion has changed nothing.  Afterwards
+ * the term is higher, and another promotion follows.
  */
 void
 ss_promote_give_up (SsNode *node, SsPromotion *p, const char *why)
@@ -111,7 +116,7 @@
   ss_promote_enter (node, p, SS_PROMOTE_IDLE);
 }
 
-/* --- the platform's object --- */
+/* --- the group's object at the platform --- */
 
 void
 ss_promote_put (SsNode *node, SsPromotion *p, const char *primary)
@@ -175,7 +180,7 @@
   ss_promote_put (node, p, "");
 }
 
-/* --- suspicion --- */
+/* --- failure detection --- */
 
 static uint32_t
 count_silent (SsNode *node, const SsGroup *group, uint32_t silence_ms)
@@ -194,7 +199,9 @@
   return silent;
 }
 
-/* Servers beside the primary of which at least half must miss it. */
+/* Returns how many servers must have lost the primary: at least half of the
+ * others.
+ */
 static uint32_t
 witnesses_needed (const SsGroup *group)
 {
@@ -247,7 +254,7 @@
   return primary && primary->draining && group->server_count > 1;
 }
 
-/* As tick_idle, where the platform carries promotions out. */
+/* Does the work of tick_idle where the platform carries out promotions. */
 static void
 tick_coordinator (SsNode *node, SsPromotion *p, SsGroup *group)
 {
@@ -293,7 +300,7 @@
   start (node, p, group);
 }
 
-/* --- answers of the platform --- */
+/* --- answers from the platform --- */
 
 static void
 finish (SsNode *node, SsPromotion *p)
@@ -310,7 +317,7 @@
   ss_promote_enter (node, p, SS_PROMOTE_IDLE);
 }
 
-/* The group's object has our operation: go on from what it says. */
+/* The group's object has this promotion's operation: continues from there. */
 static void
 go_on (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
@@ -332,8 +339,8 @@
   ss_raise_tick (node, p, group);
 }
 
-/* The object is another operation's.  Where its version moved on, our claim
- * can't take effect any more.
+/* The object has another operation.  If its version has increased, this claim
+ * can no longer take effect.
  */
 static void
 lose_race (SsNode *node, SsPromotion *p, const SsGroup *group)
@@ -386,7 +393,9 @@
       ss_promote_give_up (node, p, "the platform did not take it");
       return;
     }
-  /* Refused or lost: the object tells whether the update took effect. */
+  /* Refused, or the answer was lost: a read shows whether the update took
+   * effect.
+   */
   ss_promote_enter (node, p,
                     p->step == SS_PROMOTE_CLAIM ? SS_PROMOTE_CLAIM_READ
                                                 : SS_PROMOTE_NAME_READ);
@@ -470,7 +479,7 @@
   SsGroup *g = ss_config_group (&node->config, group);
   SsPromotion *p = ss_promote_get (node, group);
 
-  /* Another vm's promotion has no primary named yet. */
+  /* An empty primary means that another VM's promotion is running. */
   if (p->step != SS_PROMOTE_IDLE || !*g->primary)
     {
       ss_operate_promoted (node, call, SS_VERDICT_NOT_RUN,
--- a/src/core/raise.c
+++ b/src/core/raise.c
@@ -1,11 +1,15 @@
-/* raise: a claim shows its term to enough servers and chooses among them. */
+/* raise: raises the term of enough servers to the term of a claim, and chooses
+ * the new primary among them.
+ */
 #include <string.h>
 
 #include "core/internal.h"
 
+/* Retry interval of raise requests. */
 #define RAISE_AGAIN_MS 150
+/* Wait for further servers once enough have raised their term. */
 #define RAISE_MORE_MS 30
-/* A planned change: the last writes reach the replicas in this time. */
+/* In a planned switchover, the last writes reach the replicas in this time. */
 #define HANDOVER_MS 150
 
 static void
@@ -30,8 +34,8 @@
   return !t->draining && (!p->leaving || strcmp (p->leaving, t->name) != 0);
 }
 
-/* Every majority that may have acknowledged a write has to contain a raised
- * candidate: this many candidates leave room for no other majority.
+/* Returns how many candidates must have raised their term so that every
+ * majority that may have acknowledged a write contains one of them.
  */
 static uint32_t
 candidates_needed (const SsGroup *group)
@@ -39,7 +43,9 @@
   return group->server_count - ss_group_majority (group) + 1;
 }
 
-/* What TARGET held when it was raised; NULL: it was not. */
+/* Returns the log position of TARGET when its term was raised, or NULL if it
+ * was not raised.
+ */
 static const SsPosition *
 raised_held (const SsPromotion *p, const SsTarget *target)
 {
@@ -67,8 +73,9 @@
   return best;
 }
 
-/* A server that has all that any raised one holds has all that a majority
- * may have acknowledged, if enough of them were raised.
+/* Whether the best candidate is at or past the position of every raised server
+ * and enough servers are raised.  It then has every write that a majority may
+ * have acknowledged.
  */
 static bool
 is_covered (const SsPromotion *p, const SsGroup *group, uint32_t raised)
@@ -118,7 +125,7 @@
   uint32_t raised = 0;
   uint32_t candidates = 0;
 
-  /* What the old primary has taken still reaches its replicas. */
+  /* Lets the old primary's last writes reach its replicas first. */
   if (p->leaving && node->dialect->platform_promotes
       && node->now_ms - p->since_ms < HANDOVER_MS)
     return;
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -1,28 +1,32 @@
-/* relay: who lives, where there are too many vms for each to hear all.
+/* relay: hierarchical failure detection, for more VMs than a full mesh of
+ * heartbeats serves.
  *
- * A vm sends heartbeats to the relays of its failure domain only.  A relay
- * answers each with a digest: the vms of its own failure domain that it hears
- * itself, and those of others that their relays report.  Relays of different
- * failure domains send each other reports of their own.  What the receiver
- * has already goes as a hash.  So a vm's messages grow with the relays, a
- * relay's with the vms of its failure domain, and what goes between failure
- * domains with their number.
+ * A VM sends heartbeats only to the relays of its failure domain.  A relay
+ * answers each with a digest: the VMs of its own failure domain that it hears
+ * directly, and those of other failure domains that their relays report.
+ * Relays of different failure domains send each other reports on their own.  A
+ * list that the receiver already has is replaced by its hash.  So the messages
+ * of a VM grow with the number of relays, those of a relay with the VMs of its
+ * failure domain, and those between failure domains with the number of these.
  *
- * A digest holds nothing that came from another digest: a vm that is gone
- * can't be kept alive by relays that repeat each other.
+ * A digest contains nothing learned from another digest, so relays can't keep a
+ * dead VM live by repeating each other.
  */
 #include <string.h>
 #include <xxhash.h>
 
 #include "core/internal.h"
 
-/* A report in full at the latest after this, for relays that have begun anew.
+/* A relay gets a full report at least this often, as it may have restarted and
+ * lost the previous one.
  */
 #define REPORT_FULL_MS 2000
-/* Another configuration than a relay's is fetched this often at most. */
+/* Minimum interval between fetches of a configuration that differs from the
+ * relay's.
+ */
 #define PULL_AGAIN_MS 1000
 
-/* The last report in full that a relay got. */
+/* The last full report that a relay got. */
 typedef struct
 {
   uint64_t hash;
@@ -44,7 +48,7 @@
   g_hash_table_destroy (node->reports);
 }
 
-/* --- what this vm tells --- */
+/* --- sending digests, reports and heartbeats --- */
 
 typedef struct
 {
@@ -220,8 +224,9 @@
   return d->any_live;
 }
 
-/* The relays of FAILURE_DOMAIN.  Who of it is left after a cut that took all
- * known ones can't be told by rank: then every listed vm is.
+/* Adds the relays of FAILURE_DOMAIN.  After a network partition that took all
+ * VMs known to be live there, rank does not tell which VMs remain: then every
+ * listed VM of the failure domain is tried.
  */
 static void
 add_relays_of (SsNode *node, const char *failure_domain, GPtrArray *relays)
@@ -236,9 +241,9 @@
   g_ptr_array_free (d.listed, TRUE);
 }
 
-/* The relays of all other failure domains: those that are known by their rank
- * and those that report themselves, as new ones do before their predecessors
- * are missed here.
+/* Returns the relays of all other failure domains: those that rank first and
+ * those that send reports.  New relays start to report before their
+ * predecessors time out here.
  */
 static GPtrArray *
 other_relays (SsNode *node)
@@ -264,7 +269,9 @@
   return relays;
 }
 
-/* Notes that RELAY gets a report of HASH now; returns whether in full. */
+/* Records that RELAY gets a report with HASH now; returns whether the report
+ * has to be a full one.
+ */
 static bool
 note_report (SsNode *node, const char *relay, uint64_t hash)
 {
@@ -290,7 +297,7 @@
   return node->now_ms - last->sent_ms > REPORT_FULL_MS;
 }
 
-/* A relay that is only listed has to answer. */
+/* Starts or checks the timeout of a relay that is listed but not live. */
 static void
 note_try (SsNode *node, SsMember *m)
 {
@@ -347,8 +354,9 @@
   return FALSE;
 }
 
-/* Those that relay for this vm.  While that is open, anyone of its failure
- * domain may: the next by rank can be lost as well.
+/* Returns the relays of this VM.  In the grace period after the loss of its
+ * relays these are all live VMs of its failure domain, as the next ones by rank
+ * may be lost as well.
  */
 static GPtrArray *
 own_relays (SsNode *node)
@@ -390,7 +398,7 @@
   g_ptr_array_free (relays, TRUE);
 }
 
-/* --- what others tell --- */
+/* --- receiving digests and reports --- */
 
 static void
 take_states (SsNode *node, Ss__Peer__VmState **vms, size_t count)
--- a/src/core/views.c
+++ b/src/core/views.c
@@ -1,17 +1,18 @@
-/* views: which vms the relays say are live.
+/* views: which VMs the relays report as live.
  *
- * A relay sends its list in full where it changed, and else its hash.
+ * A relay sends its full list of live VMs when the list changed, and otherwise
+ * only the hash of the list.
  */
 #include <string.h>
 
 #include "core/internal.h"
 
-/* The vms that a peer last sent in full. */
+/* The last full list of live VMs from a peer. */
 typedef struct
 {
   uint64_t hash;
-  int64_t said_ms; /* when it was last said to hold */
-  GHashTable *vms; /* names */
+  int64_t said_ms; /* when the peer last confirmed it */
+  GHashTable *vms; /* names of the VMs */
 } View;
 
 static void
@@ -44,7 +45,7 @@
   return v ? v->hash : 0;
 }
 
-/* Whether a relay of FAILURE_DOMAIN says that VM is live. */
+/* Whether a relay of FAILURE_DOMAIN currently reports VM as live. */
 static bool
 is_said_live (SsNode *node, const char *failure_domain, const char *vm)
 {
@@ -66,8 +67,9 @@
   return false;
 }
 
-/* A relay of FAILURE_DOMAIN leaves vms out that it listed before: where no
- * other relay there lists them, they are not waited for any longer.
+/* Expires the reports of the VMs in BEFORE, the previous list of a relay of
+ * FAILURE_DOMAIN, that no relay there lists any longer, so that they count as
+ * dead without a further timeout.
  */
 static void
 drop_omitted (SsNode *node, const char *failure_domain, GHashTable *before)
