--- a/src/core/change.h
+++ b/src/core/change.h
@@ -14,11 +14,11 @@
 /* State of the list of VMs that a claim needs to find the lease holders. */
 typedef enum
 {
-  SS_LIST_NONE,
-  SS_LIST_WANTED,
-  SS_LIST_ASKED,
-  SS_LISTED
-} SsListing;
+  SS_VM_LIST_NONE,
+  SS_VM_LIST_WANTED,
+  SS_VM_LIST_REQUESTED,
+  SS_VM_LIST_RECEIVED
+} SsVmListState;
 
 /* Steps of a promotion:
  *
@@ -56,7 +56,7 @@
 {
   char *group;
   SsPromoteStep step;
-  int64_t primary_ok_ms; /* when the primary was last known to serve */
+  int64_t primary_seen_ms; /* when the primary was last known to serve */
   uint64_t seen_term;
   int64_t since_ms; /* of the step */
   int64_t started_ms;
@@ -69,19 +69,19 @@
   char *wanted;  /* server that an operator requests, or NULL */
   char *leaving; /* primary to be replaced, never chosen; or NULL */
   char *chosen;
-  bool ordered;
-  uint64_t order;     /* operator's call to be answered; 0: none */
-  GHashTable *raised; /* name -> SsPosition of its log; not by pointer, as
-                         servers may be added and removed meanwhile */
-  int64_t enough_ms;  /* when enough servers were raised; 0: not yet */
-  uint32_t rank;      /* of this VM as the group's coordinator */
+  bool requested;
+  uint64_t operator_call; /* operator's call to be answered; 0: none */
+  GHashTable *raised;     /* name -> SsPosition of its log; not by pointer, as
+                             servers may be added and removed meanwhile */
+  int64_t quorum_ms;      /* when enough servers were raised; 0: not yet */
+  uint32_t rank;          /* of this VM as the group's coordinator */
   uint64_t rank_generation;
-  int64_t fence;        /* fencing token of the platform's promotion call */
-  SsPosition received;  /* the highest position of a replica */
-  int64_t received_ms;  /* when received last rose */
-  int64_t watched_ms;   /* when the replicas were last polled */
-  GHashTable *released; /* VMs that have adopted the claim */
-  SsListing vms_listed; /* since the claim */
+  int64_t fencing_token;       /* of the platform's promotion call */
+  SsPosition replica_position; /* the highest position of a replica */
+  int64_t replica_position_ms; /* when that last rose */
+  int64_t replicas_polled_ms;  /* when the replicas were last polled */
+  GHashTable *released;        /* VMs that have adopted the claim */
+  SsVmListState vm_list;       /* since the claim */
 } SsPromotion;
 
 /* Key of the duty object: the VM that wrote it last may call the platform to
@@ -92,14 +92,16 @@
 /* ss_promote_enter: starts STEP and its timeout. */
 void ss_promote_enter (SsNode *node, SsPromotion *promotion,
                        SsPromoteStep step);
-/* ss_promote_give_up: ends a failed promotion.  WHY goes to the log and to the
- * operator who requested it, if any.
+/* ss_promote_give_up: ends a failed promotion.  REASON goes to the log and to
+ * the operator who requested it, if any.
  */
-void ss_promote_give_up (SsNode *node, SsPromotion *promotion, const char *why);
-/* ss_promote_put: writes the group's object with the promotion's term and
- * PRIMARY, which is empty in a claim.
+void ss_promote_give_up (SsNode *node, SsPromotion *promotion,
+                         const char *reason);
+/* ss_promote_write_group: writes the group's object with the promotion's term
+ * and PRIMARY, which is empty in a claim.
  */
-void ss_promote_put (SsNode *node, SsPromotion *promotion, const char *primary);
+void ss_promote_write_group (SsNode *node, SsPromotion *promotion,
+                             const char *primary);
 void ss_promote_tick (SsNode *node);
 void ss_promote_raised (SsNode *node, const Ss__Peer__RaiseReply *reply);
 void ss_promote_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
@@ -182,7 +184,8 @@
 /* ss_lead_term: returns the term that a new primary of GROUP will lead. */
 uint64_t ss_lead_term (const SsGroup *group);
 /* ss_lead_adopt: starts to name the primary in GROUP's object if a server leads
- * a term that the object does not have.  Returns whether it did.
+ * a later term than the object has, or leads its term while the object names no
+ * primary.  Returns whether it did.
  */
 bool ss_lead_adopt (SsNode *node, SsPromotion *promotion, SsGroup *group);
 /* ss_lead_watch: polls the replicas while their primary is unreachable. */
--- a/src/core/lead.c
+++ b/src/core/lead.c
@@ -17,26 +17,28 @@
  * how long the replicas count as receiving after their highest position last
  * rose.
  */
-#define WATCH_MS 200
-#define RECEIVED_MS 450
+#define REPLICA_POLL_MS 200
+#define RECEIVING_TIMEOUT_MS 450
 /* A report older than this is stale. */
 #define FRESH_REPORT_MS 1500
 /* Uptime of this VM from which a primary without a target entry counts as lost:
  * before, the entry may not have arrived yet.
  */
-#define SETTLED_MS 3000
-/* The first start of a whole deployment takes less than this. */
-#define FIRST_NAMED_MS 15000
+#define MIN_UPTIME_MS 3000
+/* Uptime from which a group that has never had a primary counts as failed: the
+ * first start of a whole deployment takes less than this.
+ */
+#define FIRST_START_MS 15000
 /* Interval at which the chosen server is asked whether it is promoted, and time
  * after which the platform call is repeated.
  */
-#define LOOK_AGAIN_MS 60
-#define CALL_AGAIN_MS 1500
+#define PROMOTED_POLL_MS 60
+#define CALL_RETRY_MS 1500
 /* Retry interval of the write of the duty object. */
-#define DUTY_AGAIN_MS 200
+#define DUTY_RETRY_MS 200
 /* Another VM's promotion is not taken over for this long. */
-#define UNNAMED_MS 2500
-#define SUBJECT "promotions"
+#define CLAIM_TIMEOUT_MS 2500
+#define COORDINATOR_SUBJECT "promotions"
 
 bool
 ss_lead_is_coordinator (SsNode *node)
@@ -45,11 +47,13 @@
 
   if (ss_members_is_unsure (&node->members, node->now_ms))
     return false;
-  vm = ss_members_coordinator (&node->members, SUBJECT);
+  vm = ss_members_coordinator (&node->members, COORDINATOR_SUBJECT);
   return vm && strcmp (vm, node->params.vm) == 0;
 }
 
-/* Failed attempts do not raise the term of any server. */
+/* A failed attempt raises the follow_term of no server, so its term is used
+ * again.
+ */
 uint64_t
 ss_lead_term (const SsGroup *group)
 {
@@ -107,7 +111,7 @@
                " primary=%s before=%s/%" G_GUINT64_FORMAT,
                p->term, leader->name, group->primary, group->term);
   ss_promote_enter (node, p, SS_PROMOTE_ADOPT);
-  ss_promote_put (node, p, leader->name);
+  ss_promote_write_group (node, p, leader->name);
   return true;
 }
 
@@ -117,9 +121,9 @@
 ss_lead_watch (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
-  SsPosition highest = p->received;
+  SsPosition highest = p->replica_position;
   bool ask = primary && !primary->state.reachable
-             && node->now_ms - p->watched_ms >= WATCH_MS
+             && node->now_ms - p->replicas_polled_ms >= REPLICA_POLL_MS
              && ss_lead_is_coordinator (node);
 
   for (uint32_t i = 0; i < group->server_count; i++)
@@ -133,30 +137,30 @@
         ss_hold_ask_status (node, t);
     }
   if (ask)
-    p->watched_ms = node->now_ms;
-  if (ss_position_compare (highest, p->received) <= 0)
+    p->replicas_polled_ms = node->now_ms;
+  if (ss_position_compare (highest, p->replica_position) <= 0)
     return;
-  p->received = highest;
-  p->received_ms = node->now_ms;
+  p->replica_position = highest;
+  p->replica_position_ms = node->now_ms;
 }
 
 bool
 ss_lead_is_suspect (SsNode *node, const SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
-  int64_t down_ms = node->now_ms - p->primary_ok_ms;
+  int64_t down_ms = node->now_ms - p->primary_seen_ms;
 
   /* The group has never had a primary: not all of its servers may be listed
    * yet.
    */
   if (!group->version)
-    return node->now_ms - node->started_ms >= FIRST_NAMED_MS
+    return node->now_ms - node->started_ms >= FIRST_START_MS
            && down_ms >= UNREPORTED_DOWN_MS;
   if (!*group->primary)
     return g_str_has_prefix (group->operation, node->params.vm)
-           || node->now_ms - group->changed_ms >= UNNAMED_MS;
+           || node->now_ms - group->changed_ms >= CLAIM_TIMEOUT_MS;
   if (!primary)
-    return node->now_ms - node->started_ms >= SETTLED_MS
+    return node->now_ms - node->started_ms >= MIN_UPTIME_MS
            && down_ms >= SILENT_DOWN_MS;
   if (primary->state.reachable
       || node->now_ms - primary->state_ms >= FRESH_REPORT_MS)
@@ -166,9 +170,10 @@
   /* Replicas that still receive show that the primary runs: others may reach
    * it.
    */
-  return down_ms >= (node->now_ms - p->received_ms < RECEIVED_MS
-                         ? UNREPORTED_DOWN_MS
-                         : SILENT_DOWN_MS);
+  return down_ms
+         >= (node->now_ms - p->replica_position_ms < RECEIVING_TIMEOUT_MS
+                 ? UNREPORTED_DOWN_MS
+                 : SILENT_DOWN_MS);
 }
 
 /* --- the call to the platform --- */
@@ -177,7 +182,7 @@
  * fencing token of the platform call that follows; no two calls share one.
  */
 static void
-claim_duty (SsNode *node, SsPromotion *p)
+write_duty (SsNode *node, SsPromotion *p)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_PLATFORM_PUT);
   json_t *json = json_pack ("{s:s, s:s}", "holder", node->params.vm,
@@ -196,7 +201,7 @@
 ss_lead_begin (SsNode *node, SsPromotion *p)
 {
   ss_promote_enter (node, p, SS_PROMOTE_DUTY);
-  claim_duty (node, p);
+  write_duty (node, p);
 }
 
 static void
@@ -209,22 +214,22 @@
   a->id = p->call;
   a->name = g_strdup (p->group);
   a->text = g_strdup (p->chosen);
-  a->number = p->fence;
+  a->number = p->fencing_token;
   ss_node_log (node, SS_EVENT_LOG_PROMOTION_CALLED, p->group,
                "term=%" G_GUINT64_FORMAT " server=%s fence=%" G_GINT64_FORMAT,
-               p->term, p->chosen, p->fence);
+               p->term, p->chosen, p->fencing_token);
 }
 
 typedef struct
 {
   uint64_t call;
   SsPromotion *found;
-} Search;
+} CallSearch;
 
 static gboolean
 find_call (gpointer key, gpointer value, gpointer data)
 {
-  Search *s = data;
+  CallSearch *s = data;
   SsPromotion *p = value;
 
   (void) key;
@@ -235,9 +240,9 @@
 }
 
 static SsPromotion *
-promotion_of (SsNode *node, uint64_t call)
+find_promotion (SsNode *node, uint64_t call)
 {
-  Search s = { call, NULL };
+  CallSearch s = { call, NULL };
 
   g_tree_foreach (node->promotions, find_call, &s);
   return s.found;
@@ -254,7 +259,7 @@
 }
 
 static bool
-is_ours (const SsPromotion *p, const SsObject *object)
+is_own_write (const SsPromotion *p, const SsObject *object)
 {
   return object->value
          && g_strstr_len (object->value, object->value_bytes, p->operation);
@@ -266,7 +271,7 @@
 ss_lead_duty (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
               const SsObject *object)
 {
-  SsPromotion *p = promotion_of (node, call);
+  SsPromotion *p = find_promotion (node, call);
   bool known = outcome == SS_PLATFORM_DONE || outcome == SS_PLATFORM_CONFLICT;
 
   if (known)
@@ -275,15 +280,15 @@
     node->duty_version = 0;
   if (!p || p->step != SS_PROMOTE_DUTY)
     return;
-  if (known && is_ours (p, object))
+  if (known && is_own_write (p, object))
     {
-      p->fence = object->version;
+      p->fencing_token = object->version;
       call_platform (node, p);
     }
   else if (!ss_lead_is_coordinator (node))
-    ss_promote_give_up (node, p, "another vm has the duty");
+    ss_promote_give_up (node, p, "another vm holds the failover duty");
   else if (known)
-    claim_duty (node, p);
+    write_duty (node, p);
   else if (outcome == SS_PLATFORM_UNKNOWN)
     read_duty (node, p);
 }
@@ -291,7 +296,7 @@
 void
 ss_promote_called (SsNode *node, uint64_t call, SsPlatformOutcome outcome)
 {
-  SsPromotion *p = promotion_of (node, call);
+  SsPromotion *p = find_promotion (node, call);
 
   if (!p || p->step != SS_PROMOTE_CALL)
     return;
@@ -311,7 +316,7 @@
 }
 
 static void
-look_for_lead (SsNode *node, SsPromotion *p)
+check_promoted (SsNode *node, SsPromotion *p)
 {
   SsTarget *t = chosen_server (node, p);
 
@@ -321,10 +326,10 @@
     {
       p->term = t->state.follow_term;
       ss_promote_enter (node, p, SS_PROMOTE_NAME);
-      ss_promote_put (node, p, t->name);
+      ss_promote_write_group (node, p, t->name);
       return;
     }
-  if (node->now_ms - p->asked_ms < LOOK_AGAIN_MS)
+  if (node->now_ms - p->asked_ms < PROMOTED_POLL_MS)
     return;
   p->asked_ms = node->now_ms;
   ss_hold_ask_status (node, t);
@@ -333,12 +338,12 @@
 void
 ss_lead_tick (SsNode *node, SsPromotion *p)
 {
-  if (p->step == SS_PROMOTE_DUTY && node->now_ms - p->asked_ms >= DUTY_AGAIN_MS)
-    claim_duty (node, p);
+  if (p->step == SS_PROMOTE_DUTY && node->now_ms - p->asked_ms >= DUTY_RETRY_MS)
+    write_duty (node, p);
   if (p->step != SS_PROMOTE_LEAD)
     return;
-  if (node->now_ms - p->since_ms >= CALL_AGAIN_MS)
+  if (node->now_ms - p->since_ms >= CALL_RETRY_MS)
     ss_lead_begin (node, p);
   else
-    look_for_lead (node, p);
+    check_promoted (node, p);
 }
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -19,10 +19,10 @@
  */
 #define RENEW_MS 800
 /* Retry interval after a failed renewal. */
-#define RENEW_AGAIN_MS 200
-#define ASK_TIMEOUT_MS 1500
+#define RENEW_RETRY_MS 200
+#define LIST_TIMEOUT_MS 1500
 /* Bound on the clock drift between two VMs in the time of a lease. */
-#define DRIFT_MS 50
+#define CLOCK_DRIFT_MS 50
 
 bool
 ss_lease_holds (const SsNode *node, const SsGroup *group)
@@ -40,9 +40,9 @@
   SsPromotion *p = value;
 
   (void) key;
-  if (p->vms_listed != SS_LIST_WANTED)
+  if (p->vm_list != SS_VM_LIST_WANTED)
     return FALSE;
-  p->vms_listed = SS_LIST_ASKED;
+  p->vm_list = SS_VM_LIST_REQUESTED;
   *(bool *) data = true;
   return FALSE;
 }
@@ -77,15 +77,16 @@
   SsPromotion *p = value;
 
   (void) key;
-  if (p->vms_listed == SS_LIST_ASKED)
-    p->vms_listed = *(SsListing *) data;
+  if (p->vm_list == SS_VM_LIST_REQUESTED)
+    p->vm_list = *(SsVmListState *) data;
   return FALSE;
 }
 
 static void
-take_vms (SsNode *node, SsPlatformOutcome outcome)
+handle_vm_list (SsNode *node, SsPlatformOutcome outcome)
 {
-  SsListing state = outcome == SS_PLATFORM_DONE ? SS_LISTED : SS_LIST_WANTED;
+  SsVmListState state
+      = outcome == SS_PLATFORM_DONE ? SS_VM_LIST_RECEIVED : SS_VM_LIST_WANTED;
 
   node->vms_listing = false;
   g_tree_foreach (node->promotions, end_listing, &state);
@@ -121,12 +122,12 @@
   const SsNode *node;
   GPtrArray *up; /* of names; NULL: only sets found */
   bool found;
-} Search;
+} PeerSearch;
 
 static gboolean
-find_up (gpointer key, gpointer value, gpointer data)
+find_platform_up (gpointer key, gpointer value, gpointer data)
 {
-  Search *s = data;
+  PeerSearch *s = data;
   const SsMember *m = value;
 
   if (!m->live || !m->platform_up || strcmp (key, s->node->params.vm) == 0)
@@ -141,13 +142,13 @@
 bool
 ss_lease_may_ask_servers (const SsNode *node)
 {
-  Search s = { node, NULL, false };
+  PeerSearch s = { node, NULL, false };
 
   if (!node->dialect->platform_promotes)
     return true;
   if (!node->platform_down)
     return false;
-  g_tree_foreach (node->members.by_name, find_up, &s);
+  g_tree_foreach (node->members.by_name, find_platform_up, &s);
   return !s.found;
 }
 
@@ -155,13 +156,13 @@
  * does not answer this VM.
  */
 static void
-ask_peer (SsNode *node)
+renew_through_peer (SsNode *node)
 {
-  Search s = { node, g_ptr_array_new (), false };
+  PeerSearch s = { node, g_ptr_array_new (), false };
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__LeaseAsk ask = SS__PEER__LEASE_ASK__INIT;
 
-  g_tree_foreach (node->members.by_name, find_up, &s);
+  g_tree_foreach (node->members.by_name, find_platform_up, &s);
   if (s.found)
     {
       guint choice
@@ -177,9 +178,9 @@
 }
 
 static void
-send_list (SsNode *node)
+request_group_list (SsNode *node)
 {
-  node->lease_due_ms = node->now_ms + ASK_TIMEOUT_MS;
+  node->lease_due_ms = node->now_ms + LIST_TIMEOUT_MS;
   node->lease_asked_ms = node->now_ms;
   ss_node_push (node, SS_ACTION_PLATFORM_LIST)->id = SS_FEED_GROUPS;
 }
@@ -194,7 +195,7 @@
   asker->asked_ms = node->now_ms;
   g_queue_push_tail (&node->lease_askers, asker);
   if (!node->lease_asked_ms)
-    send_list (node);
+    request_group_list (node);
 }
 
 void
@@ -251,7 +252,7 @@
       ss_lease_asker_free (g_queue_pop_head (&node->lease_askers));
     }
   if (asker)
-    send_list (node);
+    request_group_list (node);
 }
 
 void
@@ -261,11 +262,11 @@
       || !owns_primary (node))
     return;
   if (node->platform_down)
-    ask_peer (node);
+    renew_through_peer (node);
   if (!node->lease_asked_ms)
-    send_list (node);
+    request_group_list (node);
   else
-    node->lease_due_ms = node->now_ms + RENEW_AGAIN_MS;
+    node->lease_due_ms = node->now_ms + RENEW_RETRY_MS;
 }
 
 /* Extends the lease on group NAME.  A lease is valid only if this VM's object
@@ -273,7 +274,8 @@
  * sees either the holder or its release.
  */
 static void
-confirm (SsNode *node, const char *name, int64_t version, int64_t asked_ms)
+confirm_lease (SsNode *node, const char *name, int64_t version,
+               int64_t asked_ms)
 {
   SsGroup *group = ss_config_group (&node->config, name);
   const int64_t *since_ms = g_hash_table_lookup (node->leases, name);
@@ -295,8 +297,8 @@
     }
   node->lease_due_ms = node->lease_peer_ms + RENEW_MS;
   for (size_t i = 0; i < reply->n_groups; i++)
-    confirm (node, reply->groups[i]->group, reply->groups[i]->version,
-             node->lease_peer_ms);
+    confirm_lease (node, reply->groups[i]->group, reply->groups[i]->version,
+                   node->lease_peer_ms);
 }
 
 void
@@ -305,7 +307,7 @@
   int64_t asked_ms = node->lease_asked_ms;
 
   if (e->platform_objects.feed == SS_FEED_VMS)
-    take_vms (node, e->platform_objects.outcome);
+    handle_vm_list (node, e->platform_objects.outcome);
   if (e->platform_objects.feed != SS_FEED_GROUPS || !node->lease_asked_ms)
     return;
   node->lease_asked_ms = 0;
@@ -313,11 +315,12 @@
     {
       node->lease_due_ms = asked_ms + RENEW_MS;
       for (uint32_t i = 0; i < e->platform_objects.object_count; i++)
-        confirm (node, strchr (e->platform_objects.objects[i].key, '/') + 1,
-                 e->platform_objects.objects[i].version, asked_ms);
+        confirm_lease (node,
+                       strchr (e->platform_objects.objects[i].key, '/') + 1,
+                       e->platform_objects.objects[i].version, asked_ms);
     }
   else
-    node->lease_due_ms = node->now_ms + RENEW_AGAIN_MS;
+    node->lease_due_ms = node->now_ms + RENEW_RETRY_MS;
   answer_askers (node, e, asked_ms);
 }
 
@@ -328,22 +331,22 @@
  * adopted that object.
  */
 static bool
-is_over (const SsNode *node, const SsPromotion *p)
+is_expired (const SsNode *node, const SsPromotion *p)
 {
   const SsGroup *group = ss_config_group (&node->config, p->group);
   int64_t since_ms = p->since_ms;
 
   if (group && group->unnamed_ms)
     since_ms = MIN (since_ms, group->unnamed_ms);
-  return node->now_ms - since_ms >= SS_LEASE_MS + DRIFT_MS;
+  return node->now_ms - since_ms >= SS_LEASE_MS + CLOCK_DRIFT_MS;
 }
 
 bool
 ss_lease_is_released (SsNode *node, SsPromotion *p)
 {
-  if (is_over (node, p))
+  if (is_expired (node, p))
     return true;
-  return p->vms_listed == SS_LISTED
+  return p->vm_list == SS_VM_LIST_RECEIVED
          && !ss_directory_has_holder (node, p->group, p->released);
 }
 
@@ -354,7 +357,7 @@
 } Release;
 
 static gboolean
-ask_one (gpointer key, gpointer value, gpointer data)
+ask_member (gpointer key, gpointer value, gpointer data)
 {
   Release *r = data;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -378,7 +381,7 @@
   Release r = { node, p };
 
   list_vms (node);
-  g_tree_foreach (node->members.by_name, ask_one, &r);
+  g_tree_foreach (node->members.by_name, ask_member, &r);
 }
 
 void
@@ -387,7 +390,7 @@
   if (!p->released)
     p->released = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_remove_all (p->released);
-  p->vms_listed = SS_LIST_WANTED;
+  p->vm_list = SS_VM_LIST_WANTED;
   list_vms (node);
 }
 
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -28,10 +28,10 @@
   members->self = g_strdup (vm);
   members->failure_domain = g_strdup (failure_domain);
   members->generation = 1;
-  members->settled_known = false;
+  members->converged_known = false;
   members->relayed = false;
-  members->told_ms = 0;
-  members->unsure_until_ms = 0;
+  members->relay_answer_ms = 0;
+  members->relay_grace_until_ms = 0;
   self = ss_members_add (members, vm, failure_domain, ip, peer_port);
   self->live = true;
   self->heard_ms = now_ms;
@@ -63,13 +63,13 @@
       m->vm = g_strdup (vm);
       m->heard_ms = INT64_MIN / 2;
       m->reported_ms = INT64_MIN / 2;
-      m->remote_ms = INT64_MIN / 2;
-      m->relays_ms = INT64_MIN / 2;
+      m->remote_report_ms = INT64_MIN / 2;
+      m->domain_report_ms = INT64_MIN / 2;
       m->heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       g_tree_insert (members->by_name, m->vm, m);
     }
   if (g_strcmp0 (m->failure_domain, failure_domain) != 0)
-    members->settled_known = false;
+    members->converged_known = false;
   g_free (m->failure_domain);
   g_free (m->ip);
   m->failure_domain = g_strdup (failure_domain);
@@ -95,13 +95,14 @@
 ss_members_lost (SsMembers *members, const char *vm, int64_t now_ms)
 {
   SsMember *m = ss_members_find (members, vm);
-  int64_t heard_ms = now_ms - SS_MEMBER_SILENCE_MS + SS_MEMBER_LOST_SILENCE_MS;
+  int64_t heard_ms
+      = now_ms - SS_MEMBER_SILENCE_MS + SS_MEMBER_DISCONNECT_TIMEOUT_MS;
 
   if (!m)
     return;
   m->heard_ms = MIN (m->heard_ms, heard_ms);
   m->reported_ms = MIN (m->reported_ms, now_ms - SS_MEMBER_REPORTED_MS
-                                            + SS_MEMBER_LOST_SILENCE_MS);
+                                            + SS_MEMBER_DISCONNECT_TIMEOUT_MS);
 }
 
 typedef struct
@@ -114,7 +115,7 @@
 } Vote;
 
 static bool
-is_silent (const SsMember *m, int64_t now_ms)
+has_timed_out (const SsMember *m, int64_t now_ms)
 {
   return now_ms - m->heard_ms >= SS_MEMBER_SILENCE_MS;
 }
@@ -126,7 +127,7 @@
   const SsMember *m = value;
 
   if (m == v->subject || strcmp (key, v->members->self) == 0
-      || is_silent (m, v->now_ms))
+      || has_timed_out (m, v->now_ms))
     return FALSE;
   v->witnesses++;
   if (!g_hash_table_contains (m->heard, v->subject->vm))
@@ -137,23 +138,24 @@
 void
 ss_members_told (SsMembers *members, int64_t now_ms)
 {
-  members->told_ms = now_ms;
+  members->relay_answer_ms = now_ms;
 }
 
 bool
 ss_members_is_unsure (const SsMembers *members, int64_t now_ms)
 {
-  return members->relayed && now_ms < members->unsure_until_ms;
+  return members->relayed && now_ms < members->relay_grace_until_ms;
 }
 
 static void
-note_lost_relays (SsMembers *members, int64_t now_ms)
+detect_lost_relays (SsMembers *members, int64_t now_ms)
 {
-  if (!members->told_ms || now_ms - members->told_ms < SS_MEMBER_REPORTED_MS)
+  if (!members->relay_answer_ms
+      || now_ms - members->relay_answer_ms < SS_MEMBER_REPORTED_MS)
     return;
-  members->lost_told_ms = members->told_ms;
-  members->told_ms = 0;
-  members->unsure_until_ms = now_ms + SS_MEMBER_UNSURE_MS;
+  members->lost_relay_answer_ms = members->relay_answer_ms;
+  members->relay_answer_ms = 0;
+  members->relay_grace_until_ms = now_ms + SS_MEMBER_RELAY_GRACE_MS;
 }
 
 /* Whether M keeps its liveness in the grace period: it was known only through
@@ -161,24 +163,25 @@
  * the loss times out on its own.
  */
 static bool
-is_kept (const SsMembers *members, const SsMember *m, int64_t now_ms)
+keeps_liveness (const SsMembers *members, const SsMember *m, int64_t now_ms)
 {
   return ss_members_is_unsure (members, now_ms) && m->live
          && strcmp (m->failure_domain, members->failure_domain) == 0
-         && members->lost_told_ms - m->heard_ms >= SS_MEMBER_SILENCE_MS;
+         && members->lost_relay_answer_ms - m->heard_ms >= SS_MEMBER_SILENCE_MS;
 }
 
 static bool
-judge (const SsMembers *members, const SsMember *m, int64_t now_ms)
+is_member_live (const SsMembers *members, const SsMember *m, int64_t now_ms)
 {
   Vote v = { members, m, now_ms, 0, 0 };
 
   if (strcmp (m->vm, members->self) == 0)
     return true;
-  if (!is_silent (m, now_ms) || now_ms - m->reported_ms < SS_MEMBER_REPORTED_MS)
+  if (!has_timed_out (m, now_ms)
+      || now_ms - m->reported_ms < SS_MEMBER_REPORTED_MS)
     return true;
   if (members->relayed)
-    return is_kept (members, m, now_ms);
+    return keeps_liveness (members, m, now_ms);
   /* A VM takes no role before its first heartbeat. */
   if (!m->live)
     return false;
@@ -199,7 +202,7 @@
 {
   Update *u = data;
   SsMember *m = value;
-  bool live = judge (u->members, m, u->now_ms);
+  bool live = is_member_live (u->members, m, u->now_ms);
 
   (void) key;
   if (live != m->live)
@@ -216,7 +219,7 @@
 {
   Update u = { members, now_ms, g_ptr_array_new (), g_ptr_array_new () };
 
-  note_lost_relays (members, now_ms);
+  detect_lost_relays (members, now_ms);
   g_tree_foreach (members->by_name, update_one, &u);
   for (guint i = 0; i < u.changed->len; i++)
     {
@@ -224,7 +227,7 @@
 
       m->live = !m->live;
       members->generation++;
-      members->settled_known = false;
+      members->converged_known = false;
       changed (data, m);
     }
   for (guint i = 0; i < u.forgotten->len; i++)
@@ -311,19 +314,19 @@
 typedef struct
 {
   const char *failure_domain;
-  bool settled;
-} Settled;
+  bool converged;
+} Convergence;
 
 static gboolean
-check_settled (gpointer key, gpointer value, gpointer data)
+check_converged (gpointer key, gpointer value, gpointer data)
 {
-  Settled *s = data;
+  Convergence *s = data;
   const SsMember *m = value;
 
   (void) key;
   if (m->listed && !m->live
       && strcmp (m->failure_domain, s->failure_domain) == 0)
-    s->settled = false;
+    s->converged = false;
   return FALSE;
 }
 
@@ -331,21 +334,21 @@
 ss_members_set_listed (SsMembers *members, SsMember *member, bool listed)
 {
   if (member->listed != listed)
-    members->settled_known = false;
+    members->converged_known = false;
   member->listed = listed;
 }
 
 bool
 ss_members_is_settled (SsMembers *members)
 {
-  Settled s = { members->failure_domain, true };
+  Convergence s = { members->failure_domain, true };
 
-  if (members->settled_known)
-    return members->settled;
-  g_tree_foreach (members->by_name, check_settled, &s);
-  members->settled = s.settled;
-  members->settled_known = true;
-  return s.settled;
+  if (members->converged_known)
+    return members->converged;
+  g_tree_foreach (members->by_name, check_converged, &s);
+  members->converged = s.converged;
+  members->converged_known = true;
+  return s.converged;
 }
 
 typedef struct
@@ -395,7 +398,7 @@
   bool live; /* live VMs; else those that are listed but not live */
   const SsMember *best[SS_MEMBERS_RELAYS];
   uint64_t scores[SS_MEMBERS_RELAYS];
-  uint32_t wanted;
+  uint32_t relay_count;
 } Relays;
 
 /* After the loss of its relays a VM needs new ones that it hears directly. */
@@ -405,7 +408,7 @@
   if (!m->live || !ss_members_is_unsure (r->members, r->now_ms)
       || strcmp (m->failure_domain, r->members->failure_domain) != 0)
     return m->live;
-  return strcmp (m->vm, r->members->self) == 0 || !is_silent (m, r->now_ms);
+  return strcmp (m->vm, r->members->self) == 0 || !has_timed_out (m, r->now_ms);
 }
 
 static bool
@@ -415,19 +418,19 @@
     return false;
   if (r->live)
     return may_relay_live (r, m);
-  return !m->live && m->listed && r->now_ms >= m->relay_again_ms;
+  return !m->live && m->listed && r->now_ms >= m->relay_retry_ms;
 }
 
 static void
-insert_relay (Relays *r, uint32_t place, const SsMember *m, uint64_t score)
+insert_relay (Relays *r, uint32_t index, const SsMember *m, uint64_t score)
 {
-  for (uint32_t i = r->wanted - 1; i > place; i--)
+  for (uint32_t i = r->relay_count - 1; i > index; i--)
     {
       r->best[i] = r->best[i - 1];
       r->scores[i] = r->scores[i - 1];
     }
-  r->best[place] = m;
-  r->scores[place] = score;
+  r->best[index] = m;
+  r->scores[index] = score;
 }
 
 static gboolean
@@ -440,7 +443,7 @@
   if (!may_relay (r, m))
     return FALSE;
   score = ss_rank_score (key, "relay");
-  for (uint32_t i = 0; i < r->wanted; i++)
+  for (uint32_t i = 0; i < r->relay_count; i++)
     {
       if (r->best[i] && score <= r->scores[i])
         continue;
@@ -454,7 +457,7 @@
 add_relays (const SsMembers *members, Relays *r, GPtrArray *out)
 {
   g_tree_foreach (members->by_name, rank_relay, r);
-  for (uint32_t i = 0; i < r->wanted; i++)
+  for (uint32_t i = 0; i < r->relay_count; i++)
     if (r->best[i])
       g_ptr_array_add (out, r->best[i]->vm);
 }
@@ -470,15 +473,15 @@
                   .failure_domain = failure_domain,
                   .now_ms = now_ms,
                   .live = true,
-                  .wanted = SS_MEMBERS_RELAYS };
+                  .relay_count = SS_MEMBERS_RELAYS };
   Relays listed = { .members = members,
                     .failure_domain = failure_domain,
                     .now_ms = now_ms };
   guint before = out->len;
 
   add_relays (members, &live, out);
-  listed.wanted = SS_MEMBERS_RELAYS - (out->len - before);
-  if (listed.wanted)
+  listed.relay_count = SS_MEMBERS_RELAYS - (out->len - before);
+  if (listed.relay_count)
     add_relays (members, &listed, out);
 }
 
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -16,7 +16,7 @@
 /* Timeout of heartbeats. */
 #define SS_MEMBER_SILENCE_MS 800
 /* What is left of the timeouts after a connection broke. */
-#define SS_MEMBER_LOST_SILENCE_MS 250
+#define SS_MEMBER_DISCONNECT_TIMEOUT_MS 250
 /* A VM that is neither listed nor heard is removed after this time. */
 #define SS_MEMBER_FORGET_MS 30000
 /* A relay's report that a VM is live is valid for this long: two report
@@ -33,12 +33,12 @@
  * a heartbeat to the new relays, a report from these to the relays of other
  * failure domains, and the answers.
  */
-#define SS_MEMBER_UNSURE_MS 1200
+#define SS_MEMBER_RELAY_GRACE_MS 1200
 /* A VM that is listed but not live and does not answer as a relay within TRY
  * is not tried again for AGAIN.
  */
-#define SS_MEMBER_RELAY_TRY_MS 1000
-#define SS_MEMBER_RELAY_AGAIN_MS 3000
+#define SS_MEMBER_RELAY_TIMEOUT_MS 1000
+#define SS_MEMBER_RELAY_BACKOFF_MS 3000
 
 typedef struct
 {
@@ -46,17 +46,17 @@
   char *failure_domain;
   char *ip;
   uint16_t peer_port;
-  bool listed;         /* the platform lists it as live */
-  bool leaving;        /* it is in its graceful shutdown */
-  bool platform_up;    /* the platform answers it */
-  bool live;           /* as of the last ss_members_update */
-  int64_t heard_ms;    /* when its last message arrived */
-  int64_t reported_ms; /* when another VM last reported it live */
-  int64_t remote_ms;   /* when its failure domain's relay last did */
-  int64_t relays_ms;   /* when it last sent its failure domain's report */
+  bool listed;              /* the platform lists it as live */
+  bool leaving;             /* it is in its graceful shutdown */
+  bool platform_up;         /* the platform answers it */
+  bool live;                /* as of the last ss_members_update */
+  int64_t heard_ms;         /* when its last message arrived */
+  int64_t reported_ms;      /* when another VM last reported it live */
+  int64_t remote_report_ms; /* when its failure domain's relay last did */
+  int64_t domain_report_ms; /* when it last sent its failure domain's report */
   int64_t added_ms;
   int64_t relay_tried_ms; /* since when it is tried as a relay; 0: it is not */
-  int64_t relay_again_ms; /* not tried as a relay before this */
+  int64_t relay_retry_ms; /* not tried as a relay before this */
   GHashTable *heard;      /* names of the VMs whose heartbeats it receives */
 } SsMember;
 
@@ -67,11 +67,11 @@
   char *failure_domain;
   uint64_t generation; /* incremented when a VM's liveness or leaving changes */
   bool relayed;        /* too many VMs for a full mesh: relays report */
-  bool settled;        /* see ss_members_is_settled */
-  bool settled_known;
-  int64_t told_ms;         /* when a relay last answered; 0: relays lost */
-  int64_t lost_told_ms;    /* told_ms when the relays were lost */
-  int64_t unsure_until_ms; /* see ss_members_is_unsure */
+  bool converged;      /* see ss_members_is_settled */
+  bool converged_known;
+  int64_t relay_answer_ms;      /* when a relay last answered; 0: relays lost */
+  int64_t lost_relay_answer_ms; /* relay_answer_ms when the relays were lost */
+  int64_t relay_grace_until_ms; /* see ss_members_is_unsure */
 } SsMembers;
 
 void ss_members_init (SsMembers *members, const char *vm,
@@ -93,7 +93,7 @@
 void ss_members_heard (SsMembers *members, SsMember *member, bool leaving,
                        char **heard, size_t count, int64_t now_ms);
 /* ss_members_lost: records that a connection to VM broke, which shortens its
- * timeouts to SS_MEMBER_LOST_SILENCE_MS.
+ * timeouts to SS_MEMBER_DISCONNECT_TIMEOUT_MS.
  */
 void ss_members_lost (SsMembers *members, const char *vm, int64_t now_ms);
 
--- a/src/core/monitor.c
+++ b/src/core/monitor.c
@@ -6,7 +6,7 @@
 #define CONTROL_TIMEOUT_MS 3000
 #define CONNECT_TIMEOUT_MS 1000
 /* How long a status request without a position waits for a poll. */
-#define ASK_HOLD_MS 80
+#define STATUS_TIMEOUT_MS 80
 /* A subscription expires after this unless it is renewed. */
 #define SUBSCRIPTION_MS 3500
 
@@ -110,7 +110,7 @@
 }
 
 /* How long a status request waits for the position that it names. */
-#define HELD_HOLD_MS 400
+#define POSITION_TIMEOUT_MS 400
 
 void
 ss_monitor_answer (SsNode *node, SsOwned *owned)
@@ -215,7 +215,7 @@
 
 /* Starts the next statement on an idle control connection. */
 static void
-next_step (SsNode *node, SsOwned *owned)
+start_next_statement (SsNode *node, SsOwned *owned)
 {
   SsControlStep step = SS_CONTROL_NONE;
   char *sql;
@@ -263,7 +263,7 @@
 }
 
 static void
-take_poll (SsNode *node, SsOwned *owned, const SsTargetResult *result)
+handle_poll (SsNode *node, SsOwned *owned, const SsTargetResult *result)
 {
   SsTarget *t = owned->target;
   SsServerState old = t->state;
@@ -292,9 +292,9 @@
  * poll.
  */
 static int64_t
-asked_wait_ms (SsNode *node, const SsOwned *owned)
+status_wait_ms (SsNode *node, const SsOwned *owned)
 {
-  int64_t wait_ms = HELD_HOLD_MS;
+  int64_t wait_ms = POSITION_TIMEOUT_MS;
 
   for (guint i = 0; i < owned->asks->len; i++)
     {
@@ -314,7 +314,7 @@
   if (s->applied.offset < s->held.offset)
     wait_ms = node->params.pace.poll_lagging_ms;
   if (owned->asks->len)
-    wait_ms = asked_wait_ms (node, owned);
+    wait_ms = status_wait_ms (node, owned);
   owned->poll_due_ms = node->now_ms + wait_ms;
 }
 
@@ -327,7 +327,7 @@
   owned->control_step = SS_CONTROL_NONE;
   if (step == SS_CONTROL_POLL)
     {
-      take_poll (node, owned, result);
+      handle_poll (node, owned, result);
       schedule_poll (node, owned);
     }
   else
@@ -338,7 +338,7 @@
         owned->target->state.shown_term
             = MAX (owned->target->state.shown_term, owned->raise_term);
     }
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 static void
@@ -360,7 +360,7 @@
 ss_monitor_ready (SsNode *node, SsOwned *owned)
 {
   owned->poll_due_ms = node->now_ms;
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 void
@@ -414,14 +414,14 @@
   if (node->now_ms - MAX (t->reachable_ms, owned->polled_ms)
       >= node->params.pace.silence_ms)
     owned->poll_due_ms = node->now_ms;
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 void
 ss_monitor_poll_soon (SsNode *node, SsOwned *owned)
 {
   owned->poll_due_ms = node->now_ms;
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 /* --- messages --- */
@@ -440,7 +440,7 @@
   ask->held = ss_position_unpack (m->held);
   ask->poll = owned->poll + 1;
   ask->poll_ms = node->now_ms;
-  ask->expires_ms = node->now_ms + ASK_HOLD_MS;
+  ask->expires_ms = node->now_ms + STATUS_TIMEOUT_MS;
   g_ptr_array_add (owned->asks, ask);
   if (!ask->held.offset || !ss_dialect_keeps_sessions (node->dialect))
     {
@@ -449,7 +449,7 @@
     }
   ask->poll = 0;
   ask->poll_ms = node->now_ms + m->poll_after_ms;
-  ask->expires_ms = node->now_ms + HELD_HOLD_MS;
+  ask->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
   owned->poll_due_ms = MIN (owned->poll_due_ms, ask->poll_ms);
   ss_monitor_answer (node, owned);
 }
@@ -487,5 +487,5 @@
     if (strcmp (g_ptr_array_index (owned->raise_vms, i), from) == 0)
       return;
   g_ptr_array_add (owned->raise_vms, g_strdup (from));
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -17,12 +17,12 @@
 /* Delay for each coordinator rank, so that the first one normally acts alone.
  */
 #define RANK_DELAY_MS 500
-#define RANKS 3
+#define COORDINATOR_RANKS 3
 /* A claim that has named no primary for this long counts as abandoned. */
-#define UNNAMED_DOWN_MS 1500
+#define CLAIM_TIMEOUT_MS 1500
 #define FRESH_VIEW_MS 1500
 #define STEP_TIMEOUT_MS 4000
-#define READ_AGAIN_MS 200
+#define READ_RETRY_MS 200
 #define RETRY_MS 300
 #define DRAIN_RETRY_MS 2000
 
@@ -36,7 +36,7 @@
   p = g_new0 (SsPromotion, 1);
   p->group = g_strdup (group);
   p->raised = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  p->primary_ok_ms = node->now_ms;
+  p->primary_seen_ms = node->now_ms;
   g_tree_insert (node->promotions, p->group, p);
   return p;
 }
@@ -60,7 +60,7 @@
   const SsNode *node = data;
 
   (void) key;
-  p->primary_ok_ms = node->now_ms;
+  p->primary_seen_ms = node->now_ms;
   return FALSE;
 }
 
@@ -79,22 +79,23 @@
 }
 
 static void
-answer_order (SsNode *node, SsPromotion *p, SsVerdict verdict,
-              const char *message)
+answer_operator (SsNode *node, SsPromotion *p, SsVerdict verdict,
+                 const char *message)
 {
   const SsGroup *group = ss_config_group (&node->config, p->group);
-  uint64_t order = p->order;
+  uint64_t operator_call = p->operator_call;
   char *text;
 
-  if (!order)
+  if (!operator_call)
     return;
-  p->order = 0;
+  p->operator_call = 0;
   g_clear_pointer (&p->wanted, g_free);
   text = group ? g_strdup_printf (
              "%s; in force: term %" G_GUINT64_FORMAT ", primary %s", message,
              group->term, *group->primary ? group->primary : "(none)")
                : g_strdup (message);
-  ss_operate_promoted (node, order, verdict, text, group ? group->version : 0);
+  ss_operate_promoted (node, operator_call, verdict, text,
+                       group ? group->version : 0);
   g_free (text);
 }
 
@@ -102,24 +103,24 @@
  * the term is higher, and another promotion follows.
  */
 void
-ss_promote_give_up (SsNode *node, SsPromotion *p, const char *why)
+ss_promote_give_up (SsNode *node, SsPromotion *p, const char *reason)
 {
   SsVerdict verdict = p->step == SS_PROMOTE_CLAIM ? SS_VERDICT_NOT_RUN
                                                   : SS_VERDICT_MAY_HAVE_RUN;
 
   ss_node_log (node, SS_EVENT_LOG_PROMOTION_FAILED, p->group,
-               "term=%" G_GUINT64_FORMAT " %s", p->term, why);
-  answer_order (node, p, verdict, why);
+               "term=%" G_GUINT64_FORMAT " %s", p->term, reason);
+  answer_operator (node, p, verdict, reason);
   p->retry_ms = node->now_ms + RETRY_MS;
-  p->ordered = false;
-  p->primary_ok_ms = node->now_ms - SILENT_DOWN_MS;
+  p->requested = false;
+  p->primary_seen_ms = node->now_ms - SILENT_DOWN_MS;
   ss_promote_enter (node, p, SS_PROMOTE_IDLE);
 }
 
 /* --- the group's object at the platform --- */
 
 void
-ss_promote_put (SsNode *node, SsPromotion *p, const char *primary)
+ss_promote_write_group (SsNode *node, SsPromotion *p, const char *primary)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_PLATFORM_PUT);
   json_t *json = json_pack ("{s:I, s:s, s:s}", "term", (json_int_t) p->term,
@@ -157,7 +158,7 @@
 }
 
 static void
-start (SsNode *node, SsPromotion *p, const SsGroup *group)
+start_promotion (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   p->term = node->dialect->platform_promotes ? ss_lead_term (group)
                                              : highest_term (group) + 1;
@@ -167,17 +168,17 @@
               "%s-%" G_GUINT64_FORMAT "-%08x", node->params.vm,
               ++node->next_operation, g_rand_int (node->rand));
   g_hash_table_remove_all (p->raised);
-  p->enough_ms = 0;
+  p->quorum_ms = 0;
   g_clear_pointer (&p->chosen, g_free);
   g_clear_pointer (&p->leaving, g_free);
-  if (p->ordered)
+  if (p->requested)
     p->leaving = g_strdup (group->primary);
   ss_node_count (node, SS_COUNTER_PROMOTIONS);
   ss_node_log (node, SS_EVENT_LOG_PROMOTION_STARTED, p->group,
                "term=%" G_GUINT64_FORMAT " old_primary=%s ordered=%d", p->term,
-               group->primary, p->ordered);
+               group->primary, p->requested);
   ss_promote_enter (node, p, SS_PROMOTE_CLAIM);
-  ss_promote_put (node, p, "");
+  ss_promote_write_group (node, p, "");
 }
 
 /* --- failure detection --- */
@@ -214,12 +215,12 @@
 is_suspect (SsNode *node, const SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
-  int64_t down_ms = node->now_ms - p->primary_ok_ms;
+  int64_t down_ms = node->now_ms - p->primary_seen_ms;
   int64_t delay_ms = (int64_t) p->rank * RANK_DELAY_MS;
   uint32_t needed = witnesses_needed (group);
 
   if (!*group->primary)
-    return node->now_ms - group->changed_ms >= UNNAMED_DOWN_MS + delay_ms;
+    return node->now_ms - group->changed_ms >= CLAIM_TIMEOUT_MS + delay_ms;
   if (!primary)
     return false;
   if (primary->state.refused && down_ms >= CRASH_DOWN_MS + delay_ms
@@ -232,22 +233,22 @@
 }
 
 static void
-watch_primary (SsNode *node, SsPromotion *p, const SsGroup *group)
+track_primary (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *t = ss_group_primary (group);
 
   if (p->seen_term != group->term)
     {
       p->seen_term = group->term;
-      p->primary_ok_ms = node->now_ms;
+      p->primary_seen_ms = node->now_ms;
     }
   if (t && t->state.reachable && t->state.role == SS_SERVER_PRIMARY
       && t->state.shown_term == group->term)
-    p->primary_ok_ms = MAX (p->primary_ok_ms, t->reachable_ms);
+    p->primary_seen_ms = MAX (p->primary_seen_ms, t->reachable_ms);
 }
 
 static bool
-must_leave (const SsGroup *group)
+is_primary_draining (const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
 
@@ -256,23 +257,23 @@
 
 /* Does the work of tick_idle where the platform carries out promotions. */
 static void
-tick_coordinator (SsNode *node, SsPromotion *p, SsGroup *group)
+tick_idle_platform (SsNode *node, SsPromotion *p, SsGroup *group)
 {
   if (node->now_ms < p->retry_ms || node->stopping
       || !ss_lead_is_coordinator (node) || ss_lead_adopt (node, p, group))
     return;
-  if (must_leave (group))
+  if (is_primary_draining (group))
     {
-      p->ordered = true;
+      p->requested = true;
       p->retry_ms = node->now_ms + DRAIN_RETRY_MS;
     }
-  else if (!p->ordered && !ss_lead_is_suspect (node, p, group))
+  else if (!p->requested && !ss_lead_is_suspect (node, p, group))
     return;
-  if (!p->ordered)
+  if (!p->requested)
     ss_node_log (node, SS_EVENT_LOG_SUSPECT, p->group,
                  "primary=%s down_ms=%" G_GINT64_FORMAT, group->primary,
-                 node->now_ms - p->primary_ok_ms);
-  start (node, p, group);
+                 node->now_ms - p->primary_seen_ms);
+  start_promotion (node, p, group);
 }
 
 static void
@@ -280,57 +281,57 @@
 {
   if (node->dialect->platform_promotes)
     {
-      tick_coordinator (node, p, group);
+      tick_idle_platform (node, p, group);
       return;
     }
-  if (ss_promote_rank (node, p) >= RANKS || node->now_ms < p->retry_ms
-      || node->stopping)
+  if (ss_promote_rank (node, p) >= COORDINATOR_RANKS
+      || node->now_ms < p->retry_ms || node->stopping)
     return;
-  if (must_leave (group) && p->rank == 0)
+  if (is_primary_draining (group) && p->rank == 0)
     {
-      p->ordered = true;
+      p->requested = true;
       p->retry_ms = node->now_ms + DRAIN_RETRY_MS;
     }
-  else if (!p->ordered && !is_suspect (node, p, group))
+  else if (!p->requested && !is_suspect (node, p, group))
     return;
-  if (!p->ordered)
+  if (!p->requested)
     ss_node_log (node, SS_EVENT_LOG_SUSPECT, p->group,
                  "primary=%s down_ms=%" G_GINT64_FORMAT " rank=%u",
-                 group->primary, node->now_ms - p->primary_ok_ms, p->rank);
-  start (node, p, group);
+                 group->primary, node->now_ms - p->primary_seen_ms, p->rank);
+  start_promotion (node, p, group);
 }
 
 /* --- answers from the platform --- */
 
 static void
-finish (SsNode *node, SsPromotion *p)
+finish_promotion (SsNode *node, SsPromotion *p)
 {
   ss_node_log (node, SS_EVENT_LOG_PROMOTION_DONE, p->group,
                "term=%" G_GUINT64_FORMAT " primary=%s ms=%" G_GINT64_FORMAT,
                p->term, p->chosen, node->now_ms - p->started_ms);
   if (p->step != SS_PROMOTE_ADOPT)
     ss_prediction_learn (&node->prediction, node->now_ms - p->started_ms);
-  answer_order (node, p, SS_VERDICT_RAN, "promoted");
-  p->ordered = false;
+  answer_operator (node, p, SS_VERDICT_RAN, "promoted");
+  p->requested = false;
   p->retry_ms = node->now_ms + RETRY_MS;
-  p->primary_ok_ms = node->now_ms;
+  p->primary_seen_ms = node->now_ms;
   ss_promote_enter (node, p, SS_PROMOTE_IDLE);
 }
 
 /* The group's object has this promotion's operation: continues from there. */
 static void
-go_on (SsNode *node, SsPromotion *p, const SsGroup *group)
+continue_promotion (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   p->version = group->version;
   if (*group->primary)
     {
-      finish (node, p);
+      finish_promotion (node, p);
       return;
     }
   if (p->step == SS_PROMOTE_NAME_READ)
     {
       ss_promote_enter (node, p, SS_PROMOTE_NAME);
-      ss_promote_put (node, p, p->chosen);
+      ss_promote_write_group (node, p, p->chosen);
       return;
     }
   ss_promote_enter (node, p, SS_PROMOTE_RAISE);
@@ -343,24 +344,24 @@
  * can no longer take effect.
  */
 static void
-lose_race (SsNode *node, SsPromotion *p, const SsGroup *group)
+abort_superseded (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   if (p->step == SS_PROMOTE_CLAIM_READ && group && group->version > p->version)
     p->step = SS_PROMOTE_CLAIM;
-  ss_promote_give_up (node, p, "another operation won");
+  ss_promote_give_up (node, p, "another operation changed the group first");
 }
 
 static void
-adopt_and_go_on (SsNode *node, SsPromotion *p, const SsObject *object)
+adopt_and_continue (SsNode *node, SsPromotion *p, const SsObject *object)
 {
   SsGroup *group;
 
   ss_adopt_one (node, object);
   group = ss_config_group (&node->config, p->group);
   if (group && strcmp (group->operation, p->operation) == 0)
-    go_on (node, p, group);
+    continue_promotion (node, p, group);
   else
-    lose_race (node, p, group);
+    abort_superseded (node, p, group);
 }
 
 void
@@ -383,14 +384,14 @@
     return;
   if (outcome == SS_PLATFORM_DONE || outcome == SS_PLATFORM_CONFLICT)
     {
-      adopt_and_go_on (node, p, object);
+      adopt_and_continue (node, p, object);
       return;
     }
   if (p->step == SS_PROMOTE_CLAIM_READ || p->step == SS_PROMOTE_NAME_READ)
     return; /* the tick reads again */
   if (p->step == SS_PROMOTE_ADOPT)
     {
-      ss_promote_give_up (node, p, "the platform did not take it");
+      ss_promote_give_up (node, p, "the platform did not accept the update");
       return;
     }
   /* Refused, or the answer was lost: a read shows whether the update took
@@ -407,7 +408,7 @@
 static void
 tick_one (SsNode *node, SsPromotion *p, SsGroup *group)
 {
-  watch_primary (node, p, group);
+  track_primary (node, p, group);
   if (node->dialect->platform_promotes)
     ss_lead_watch (node, p, group);
   if (p->step != SS_PROMOTE_IDLE && group->term > p->term)
@@ -418,7 +419,7 @@
   if (p->step != SS_PROMOTE_IDLE
       && node->now_ms - p->since_ms >= STEP_TIMEOUT_MS)
     {
-      ss_promote_give_up (node, p, "timed out");
+      ss_promote_give_up (node, p, "a promotion step timed out");
       return;
     }
   switch (p->step)
@@ -435,7 +436,7 @@
       break;
     case SS_PROMOTE_CLAIM_READ:
     case SS_PROMOTE_NAME_READ:
-      if (node->now_ms - p->asked_ms >= READ_AGAIN_MS)
+      if (node->now_ms - p->asked_ms >= READ_RETRY_MS)
         get_group (node, p);
       break;
     default:
@@ -444,7 +445,7 @@
 }
 
 static gboolean
-collect (gpointer key, gpointer value, gpointer data)
+collect_key (gpointer key, gpointer value, gpointer data)
 {
   (void) value;
   g_ptr_array_add (data, key);
@@ -457,7 +458,7 @@
   GPtrArray *names = g_ptr_array_new_with_free_func (g_free);
   GPtrArray *keys = g_ptr_array_new ();
 
-  g_tree_foreach (node->config.groups, collect, keys);
+  g_tree_foreach (node->config.groups, collect_key, keys);
   for (guint i = 0; i < keys->len; i++)
     g_ptr_array_add (names, g_strdup (g_ptr_array_index (keys, i)));
   for (guint i = 0; i < names->len; i++)
@@ -483,13 +484,13 @@
   if (p->step != SS_PROMOTE_IDLE || !*g->primary)
     {
       ss_operate_promoted (node, call, SS_VERDICT_NOT_RUN,
-                           "a promotion of this group runs already",
+                           "a promotion of this group is already running",
                            g->version);
       return;
     }
   g_free (p->wanted);
   p->wanted = to ? g_strdup (to) : NULL;
-  p->ordered = true;
-  p->order = call;
-  start (node, p, g);
+  p->requested = true;
+  p->operator_call = call;
+  start_promotion (node, p, g);
 }
--- a/src/core/raise.c
+++ b/src/core/raise.c
@@ -6,9 +6,9 @@
 #include "core/internal.h"
 
 /* Retry interval of raise requests. */
-#define RAISE_AGAIN_MS 150
+#define RAISE_RETRY_MS 150
 /* Wait for further servers once enough have raised their term. */
-#define RAISE_MORE_MS 30
+#define RAISE_GRACE_MS 30
 /* In a planned switchover, the last writes reach the replicas in this time. */
 #define HANDOVER_MS 150
 
@@ -29,7 +29,7 @@
 }
 
 static bool
-may_be_chosen (const SsPromotion *p, const SsTarget *t)
+is_candidate (const SsPromotion *p, const SsTarget *t)
 {
   return !t->draining && (!p->leaving || strcmp (p->leaving, t->name) != 0);
 }
@@ -47,7 +47,7 @@
  * was not raised.
  */
 static const SsPosition *
-raised_held (const SsPromotion *p, const SsTarget *target)
+raised_position (const SsPromotion *p, const SsTarget *target)
 {
   return g_hash_table_lookup (p->raised, target->name);
 }
@@ -60,12 +60,13 @@
   for (uint32_t i = 0; i < group->server_count; i++)
     {
       const SsTarget *t = group->servers[i];
-      const SsPosition *held = raised_held (p, t);
+      const SsPosition *held = raised_position (p, t);
       int32_t order;
 
-      if (!held || !may_be_chosen (p, t))
+      if (!held || !is_candidate (p, t))
         continue;
-      order = best ? ss_position_compare (*held, *raised_held (p, best)) : 1;
+      order
+          = best ? ss_position_compare (*held, *raised_position (p, best)) : 1;
       if (order > 0
           || (order == 0 && p->wanted && strcmp (p->wanted, t->name) == 0))
         best = t;
@@ -78,24 +79,24 @@
  * have acknowledged.
  */
 static bool
-is_covered (const SsPromotion *p, const SsGroup *group, uint32_t raised)
+covers_majority (const SsPromotion *p, const SsGroup *group, uint32_t raised)
 {
   const SsTarget *best = best_candidate (p, group);
   SsPosition highest = { 0, 0 };
 
   for (uint32_t i = 0; i < group->server_count; i++)
     {
-      const SsPosition *held = raised_held (p, group->servers[i]);
+      const SsPosition *held = raised_position (p, group->servers[i]);
 
       if (held)
         highest = ss_position_max (highest, *held);
     }
   return best && raised >= candidates_needed (group)
-         && ss_position_compare (*raised_held (p, best), highest) >= 0;
+         && ss_position_compare (*raised_position (p, best), highest) >= 0;
 }
 
 static void
-name_primary (SsNode *node, SsPromotion *p, const SsGroup *group)
+choose_primary (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *best = best_candidate (p, group);
 
@@ -110,7 +111,7 @@
       return;
     }
   ss_promote_enter (node, p, SS_PROMOTE_NAME);
-  ss_promote_put (node, p, p->chosen);
+  ss_promote_write_group (node, p, p->chosen);
 }
 
 static bool
@@ -131,29 +132,30 @@
     return;
   for (uint32_t i = 0; i < group->server_count; i++)
     {
-      if (!raised_held (p, group->servers[i]))
+      if (!raised_position (p, group->servers[i]))
         continue;
       raised++;
-      candidates += may_be_chosen (p, group->servers[i]) ? 1 : 0;
+      candidates += is_candidate (p, group->servers[i]) ? 1 : 0;
     }
   if ((candidates >= candidates_needed (group)
-       || (node->dialect->platform_promotes && is_covered (p, group, raised)))
-      && !p->enough_ms)
-    p->enough_ms = node->now_ms;
-  if (p->enough_ms && candidates && is_released (node, p)
+       || (node->dialect->platform_promotes
+           && covers_majority (p, group, raised)))
+      && !p->quorum_ms)
+    p->quorum_ms = node->now_ms;
+  if (p->quorum_ms && candidates && is_released (node, p)
       && (raised == group->server_count
-          || node->now_ms - p->enough_ms >= RAISE_MORE_MS))
+          || node->now_ms - p->quorum_ms >= RAISE_GRACE_MS))
     {
-      name_primary (node, p, group);
+      choose_primary (node, p, group);
       return;
     }
-  if (node->now_ms - p->asked_ms < RAISE_AGAIN_MS)
+  if (node->now_ms - p->asked_ms < RAISE_RETRY_MS)
     return;
   p->asked_ms = node->now_ms;
   if (node->dialect->platform_promotes)
     ss_lease_ask_release (node, p);
   for (uint32_t i = 0; i < group->server_count; i++)
-    if (!raised_held (p, group->servers[i]))
+    if (!raised_position (p, group->servers[i]))
       send_raise (node, p, group->servers[i]);
 }
 
@@ -174,7 +176,7 @@
     }
   if (!reply->accepted)
     {
-      ss_promote_give_up (node, p, "a server was shown a higher term");
+      ss_promote_give_up (node, p, "a server has a higher term");
       return;
     }
   ss_state_unpack (reply->state, &state);
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -20,11 +20,11 @@
 /* A relay gets a full report at least this often, as it may have restarted and
  * lost the previous one.
  */
-#define REPORT_FULL_MS 2000
+#define FULL_REPORT_INTERVAL_MS 2000
 /* Minimum interval between fetches of a configuration that differs from the
  * relay's.
  */
-#define PULL_AGAIN_MS 1000
+#define PULL_INTERVAL_MS 1000
 
 /* The last full report that a relay got. */
 typedef struct
@@ -58,7 +58,7 @@
 } Collect;
 
 static bool
-is_own (const SsNode *node, const SsMember *m)
+is_own_domain (const SsNode *node, const SsMember *m)
 {
   return strcmp (m->failure_domain, node->params.failure_domain) == 0;
 }
@@ -68,9 +68,9 @@
 {
   if (strcmp (m->vm, node->params.vm) == 0)
     return true;
-  if (is_own (node, m))
+  if (is_own_domain (node, m))
     return node->now_ms - m->heard_ms < SS_MEMBER_SILENCE_MS;
-  return node->now_ms - m->remote_ms < SS_MEMBER_REPORTED_MS;
+  return node->now_ms - m->remote_report_ms < SS_MEMBER_REPORTED_MS;
 }
 
 static gboolean
@@ -80,7 +80,8 @@
   SsMember *m = value;
 
   (void) key;
-  if ((!c->own_only || is_own (c->node, m)) && is_known_live (c->node, m))
+  if ((!c->own_only || is_own_domain (c->node, m))
+      && is_known_live (c->node, m))
     g_ptr_array_add (c->found, m);
   return FALSE;
 }
@@ -113,10 +114,10 @@
 {
   Ss__Peer__VmState *states;
   Ss__Peer__VmState **list;
-} Packed;
+} PackedStates;
 
 static void
-packed_init (Packed *p, const GPtrArray *vms)
+packed_states_init (PackedStates *p, const GPtrArray *vms)
 {
   p->states = g_new (Ss__Peer__VmState, vms->len + 1);
   p->list = g_new (Ss__Peer__VmState *, vms->len + 1);
@@ -137,7 +138,7 @@
 }
 
 static void
-packed_finish (Packed *p)
+packed_states_finish (PackedStates *p)
 {
   g_free (p->states);
   g_free (p->list);
@@ -149,9 +150,9 @@
   GPtrArray *vms = collect_live (node, false);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__Digest digest = SS__PEER__DIGEST__INIT;
-  Packed p;
+  PackedStates p;
 
-  packed_init (&p, vms);
+  packed_states_init (&p, vms);
   digest.hash = hash_view (vms);
   digest.full = digest.hash != known_hash;
   digest.config_hash = node->config.hash;
@@ -163,19 +164,19 @@
   e.body_case = SS__PEER__ENVELOPE__BODY_DIGEST;
   e.digest = &digest;
   ss_node_send (node, vm, &e);
-  packed_finish (&p);
+  packed_states_finish (&p);
   g_ptr_array_free (vms, TRUE);
 }
 
 static void
-add_domain (gpointer key, gpointer value, gpointer data)
+append_domain (gpointer key, gpointer value, gpointer data)
 {
   (void) value;
   g_ptr_array_add (data, key);
 }
 
 static gboolean
-note_domain (gpointer key, gpointer value, gpointer data)
+collect_domain (gpointer key, gpointer value, gpointer data)
 {
   const SsMember *m = value;
 
@@ -196,8 +197,8 @@
   RelayList *r = data;
   const SsMember *m = value;
 
-  if (r->node->now_ms - m->relays_ms < SS_MEMBER_SILENCE_MS
-      && !is_own (r->node, m)
+  if (r->node->now_ms - m->domain_report_ms < SS_MEMBER_SILENCE_MS
+      && !is_own_domain (r->node, m)
       && !g_ptr_array_find_with_equal_func (r->relays, key, g_str_equal, NULL))
     g_ptr_array_add (r->relays, key);
   return FALSE;
@@ -253,8 +254,8 @@
   GPtrArray *names = g_ptr_array_new ();
   GPtrArray *relays = g_ptr_array_new ();
 
-  g_tree_foreach (node->members.by_name, note_domain, domains);
-  g_hash_table_foreach (domains, add_domain, names);
+  g_tree_foreach (node->members.by_name, collect_domain, domains);
+  g_hash_table_foreach (domains, append_domain, names);
   for (guint i = 0; i < names->len; i++)
     {
       const char *domain = g_ptr_array_index (names, i);
@@ -273,12 +274,12 @@
  * has to be a full one.
  */
 static bool
-note_report (SsNode *node, const char *relay, uint64_t hash)
+record_report (SsNode *node, const char *relay, uint64_t hash)
 {
   FullReport *last = g_hash_table_lookup (node->reports, relay);
 
   if (last && last->hash == hash
-      && node->now_ms - last->sent_ms < REPORT_FULL_MS)
+      && node->now_ms - last->sent_ms < FULL_REPORT_INTERVAL_MS)
     return false;
   last = g_new (FullReport, 1);
   last->hash = hash;
@@ -288,27 +289,27 @@
 }
 
 static gboolean
-is_old_report (gpointer key, gpointer value, gpointer data)
+is_expired_report (gpointer key, gpointer value, gpointer data)
 {
   const SsNode *node = data;
   const FullReport *last = value;
 
   (void) key;
-  return node->now_ms - last->sent_ms > REPORT_FULL_MS;
+  return node->now_ms - last->sent_ms > FULL_REPORT_INTERVAL_MS;
 }
 
 /* Starts or checks the timeout of a relay that is listed but not live. */
 static void
-note_try (SsNode *node, SsMember *m)
+update_relay_timeout (SsNode *node, SsMember *m)
 {
   if (m->live)
     m->relay_tried_ms = 0;
   else if (!m->relay_tried_ms)
     m->relay_tried_ms = node->now_ms;
-  else if (node->now_ms - m->relay_tried_ms >= SS_MEMBER_RELAY_TRY_MS)
+  else if (node->now_ms - m->relay_tried_ms >= SS_MEMBER_RELAY_TIMEOUT_MS)
     {
       m->relay_tried_ms = 0;
-      m->relay_again_ms = node->now_ms + SS_MEMBER_RELAY_AGAIN_MS;
+      m->relay_retry_ms = node->now_ms + SS_MEMBER_RELAY_BACKOFF_MS;
     }
 }
 
@@ -319,9 +320,9 @@
   GPtrArray *relays = other_relays (node);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__DomainReport report = SS__PEER__DOMAIN_REPORT__INIT;
-  Packed p;
+  PackedStates p;
 
-  packed_init (&p, vms);
+  packed_states_init (&p, vms);
   report.failure_domain = (char *) node->params.failure_domain;
   report.hash = hash_view (vms);
   e.body_case = SS__PEER__ENVELOPE__BODY_DOMAIN_REPORT;
@@ -330,14 +331,14 @@
     {
       const char *relay = g_ptr_array_index (relays, i);
 
-      note_try (node, ss_members_find (&node->members, relay));
-      report.full = note_report (node, relay, report.hash);
+      update_relay_timeout (node, ss_members_find (&node->members, relay));
+      report.full = record_report (node, relay, report.hash);
       report.vms = p.list;
       report.n_vms = report.full ? vms->len : 0;
       ss_node_send (node, relay, &e);
     }
-  g_hash_table_foreach_remove (node->reports, is_old_report, node);
-  packed_finish (&p);
+  g_hash_table_foreach_remove (node->reports, is_expired_report, node);
+  packed_states_finish (&p);
   g_ptr_array_free (relays, TRUE);
   g_ptr_array_free (vms, TRUE);
 }
@@ -348,7 +349,8 @@
   RelayList *r = data;
   const SsMember *m = value;
 
-  if (m->live && is_own (r->node, m) && strcmp (key, r->node->params.vm) != 0
+  if (m->live && is_own_domain (r->node, m)
+      && strcmp (key, r->node->params.vm) != 0
       && !g_ptr_array_find_with_equal_func (r->relays, key, g_str_equal, NULL))
     g_ptr_array_add (r->relays, key);
   return FALSE;
@@ -375,7 +377,7 @@
 ss_relay_beat (SsNode *node, SsEnvelope *beat)
 {
   GPtrArray *relays = own_relays (node);
-  bool relays_here = false;
+  bool is_relay = false;
 
   for (guint i = 0; i < relays->len; i++)
     {
@@ -383,14 +385,14 @@
 
       if (strcmp (vm, node->params.vm) == 0)
         {
-          relays_here = true;
+          is_relay = true;
           continue;
         }
-      note_try (node, ss_members_find (&node->members, vm));
+      update_relay_timeout (node, ss_members_find (&node->members, vm));
       beat->heartbeat->digest = ss_views_hash (node, vm);
       ss_node_send (node, vm, beat);
     }
-  if (relays_here)
+  if (is_relay)
     {
       ss_members_told (&node->members, node->now_ms);
       send_reports (node);
@@ -401,7 +403,7 @@
 /* --- receiving digests and reports --- */
 
 static void
-take_states (SsNode *node, Ss__Peer__VmState **vms, size_t count)
+apply_states (SsNode *node, Ss__Peer__VmState **vms, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
@@ -429,7 +431,7 @@
   ss_members_told (&node->members, node->now_ms);
   if (digest->full)
     {
-      take_states (node, digest->vms, digest->n_vms);
+      apply_states (node, digest->vms, digest->n_vms);
       ss_views_keep (node, from, m->failure_domain, digest->hash, digest->vms,
                      digest->n_vms);
     }
@@ -437,7 +439,7 @@
     ss_views_refresh (node, from, false);
   if (digest->config_hash == node->config.hash)
     node->config_differs_ms = node->now_ms;
-  else if (node->now_ms - node->config_differs_ms >= PULL_AGAIN_MS
+  else if (node->now_ms - node->config_differs_ms >= PULL_INTERVAL_MS
            && !ss_feeds_watches (node))
     {
       node->config_differs_ms = node->now_ms;
@@ -454,10 +456,10 @@
   if (strcmp (report->failure_domain, node->params.failure_domain) == 0)
     return;
   if (m)
-    m->relays_ms = node->now_ms;
+    m->domain_report_ms = node->now_ms;
   if (report->full)
     {
-      take_states (node, report->vms, report->n_vms);
+      apply_states (node, report->vms, report->n_vms);
       ss_views_keep (node, from, report->failure_domain, report->hash,
                      report->vms, report->n_vms);
     }
--- a/src/core/views.c
+++ b/src/core/views.c
@@ -11,8 +11,8 @@
 typedef struct
 {
   uint64_t hash;
-  int64_t said_ms; /* when the peer last confirmed it */
-  GHashTable *vms; /* names of the VMs */
+  int64_t confirmed_ms; /* when the peer last confirmed it */
+  GHashTable *vms;      /* names of the VMs */
 } View;
 
 static void
@@ -47,7 +47,7 @@
 
 /* Whether a relay of FAILURE_DOMAIN currently reports VM as live. */
 static bool
-is_said_live (SsNode *node, const char *failure_domain, const char *vm)
+is_reported_live (SsNode *node, const char *failure_domain, const char *vm)
 {
   GHashTableIter iter;
   gpointer relay;
@@ -59,7 +59,7 @@
       const View *v = view;
       const SsMember *m = ss_members_find (&node->members, relay);
 
-      if (node->now_ms - v->said_ms < SS_MEMBER_SILENCE_MS
+      if (node->now_ms - v->confirmed_ms < SS_MEMBER_SILENCE_MS
           && g_hash_table_contains (v->vms, vm) && m
           && strcmp (m->failure_domain, failure_domain) == 0)
         return true;
@@ -72,9 +72,9 @@
  * dead without a further timeout.
  */
 static void
-drop_omitted (SsNode *node, const char *failure_domain, GHashTable *before)
+expire_omitted (SsNode *node, const char *failure_domain, GHashTable *before)
 {
-  int64_t over_ms = node->now_ms - SS_MEMBER_REPORTED_MS;
+  int64_t expired_ms = node->now_ms - SS_MEMBER_REPORTED_MS;
   GHashTableIter iter;
   gpointer vm;
 
@@ -83,10 +83,10 @@
     {
       SsMember *m = ss_members_find (&node->members, vm);
 
-      if (!m || is_said_live (node, failure_domain, vm))
+      if (!m || is_reported_live (node, failure_domain, vm))
         continue;
-      m->reported_ms = MIN (m->reported_ms, over_ms);
-      m->remote_ms = MIN (m->remote_ms, over_ms);
+      m->reported_ms = MIN (m->reported_ms, expired_ms);
+      m->remote_report_ms = MIN (m->remote_report_ms, expired_ms);
     }
 }
 
@@ -99,14 +99,14 @@
   View *v = g_new0 (View, 1);
 
   v->hash = hash;
-  v->said_ms = node->now_ms;
+  v->confirmed_ms = node->now_ms;
   v->vms = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (size_t i = 0; i < count; i++)
     g_hash_table_add (v->vms, g_strdup (vms[i]->vm));
   g_hash_table_replace (node->views, g_strdup (from), v);
   if (!listed)
     return;
-  drop_omitted (node, failure_domain, listed);
+  expire_omitted (node, failure_domain, listed);
   g_hash_table_unref (listed);
 }
 
@@ -119,7 +119,7 @@
 
   if (!v)
     return;
-  v->said_ms = node->now_ms;
+  v->confirmed_ms = node->now_ms;
   g_hash_table_iter_init (&iter, v->vms);
   while (g_hash_table_iter_next (&iter, &vm, NULL))
     {
@@ -129,6 +129,6 @@
         continue;
       m->reported_ms = node->now_ms;
       if (remote)
-        m->remote_ms = node->now_ms;
+        m->remote_report_ms = node->now_ms;
     }
 }
