--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -21,7 +21,7 @@
 /* Retry interval after a failed renewal. */
 #define RENEW_RETRY_MS 200
 #define LIST_TIMEOUT_MS 1500
-/* Bound on the clock drift between two VMs in the time of a lease. */
+/* Bound on the clock drift between two VMs during a lease. */
 #define CLOCK_DRIFT_MS 50
 
 bool
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -422,15 +422,15 @@
 }
 
 static void
-insert_relay (Relays *r, uint32_t index, const SsMember *m, uint64_t score)
+insert_relay (Relays *r, uint32_t position, const SsMember *m, uint64_t score)
 {
-  for (uint32_t i = r->relay_count - 1; i > index; i--)
+  for (uint32_t i = r->relay_count - 1; i > position; i--)
     {
       r->best[i] = r->best[i - 1];
       r->scores[i] = r->scores[i - 1];
     }
-  r->best[index] = m;
-  r->scores[index] = score;
+  r->best[position] = m;
+  r->scores[position] = score;
 }
 
 static gboolean
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -34,8 +34,8 @@
  * failure domains, and the answers.
  */
 #define SS_MEMBER_RELAY_GRACE_MS 1200
-/* A VM that is listed but not live and does not answer as a relay within TRY
- * is not tried again for AGAIN.
+/* A VM that is listed but not live and does not answer as a relay within the
+ * timeout is not tried again during the backoff.
  */
 #define SS_MEMBER_RELAY_TIMEOUT_MS 1000
 #define SS_MEMBER_RELAY_BACKOFF_MS 3000
--- a/src/core/raise.c
+++ b/src/core/raise.c
@@ -79,7 +79,8 @@
  * have acknowledged.
  */
 static bool
-covers_majority (const SsPromotion *p, const SsGroup *group, uint32_t raised)
+covers_majority (const SsPromotion *p, const SsGroup *group,
+                 uint32_t raised_count)
 {
   const SsTarget *best = best_candidate (p, group);
   SsPosition highest = { 0, 0 };
@@ -91,7 +92,7 @@
       if (held)
         highest = ss_position_max (highest, *held);
     }
-  return best && raised >= candidates_needed (group)
+  return best && raised_count >= candidates_needed (group)
          && ss_position_compare (*raised_position (p, best), highest) >= 0;
 }
 
@@ -123,7 +124,7 @@
 void
 ss_raise_tick (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
-  uint32_t raised = 0;
+  uint32_t raised_count = 0;
   uint32_t candidates = 0;
 
   /* Lets the old primary's last writes reach its replicas first. */
@@ -134,16 +135,16 @@
     {
       if (!raised_position (p, group->servers[i]))
         continue;
-      raised++;
+      raised_count++;
       candidates += is_candidate (p, group->servers[i]) ? 1 : 0;
     }
   if ((candidates >= candidates_needed (group)
        || (node->dialect->platform_promotes
-           && covers_majority (p, group, raised)))
+           && covers_majority (p, group, raised_count)))
       && !p->quorum_ms)
     p->quorum_ms = node->now_ms;
   if (p->quorum_ms && candidates && is_released (node, p)
-      && (raised == group->server_count
+      && (raised_count == group->server_count
           || node->now_ms - p->quorum_ms >= RAISE_GRACE_MS))
     {
       choose_primary (node, p, group);
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -357,8 +357,8 @@
 }
 
 /* Returns the relays of this VM.  In the grace period after the loss of its
- * relays these are all live VMs of its failure domain, as the next ones by rank
- * may be lost as well.
+ * relays, all other live VMs of its failure domain are added, as the next ones
+ * by rank may be lost as well.
  */
 static GPtrArray *
 own_relays (SsNode *node)
