--- a/src/core/lead.c
+++ b/src/core/lead.c
@@ -1,3 +1,4 @@
+/* lead: promotions that one VM, the coordinator, has the platform carry out. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/monitor.c
+++ b/src/core/monitor.c
@@ -1,3 +1,6 @@
+/* monitor: polls and reports the state of a target that this VM owns, and gives
+ * the target its role, over a control connection.
+ */
 #include <string.h>
 
 #include "core/owner.h"
@@ -5,8 +8,10 @@
 #define CONTROL_RETRY_MS 100
 #define CONTROL_TIMEOUT_MS 3000
 #define CONNECT_TIMEOUT_MS 1000
-/* How long a status request without a position waits for a poll. */
-#define STATUS_TIMEOUT_MS 80
+/* How long a status request waits for the position that it names, where the
+ * dialect does not keep sessions.
+ */
+#define POSITION_TIMEOUT_MS 80
 /* A subscription expires after this unless it is renewed. */
 #define SUBSCRIPTION_MS 3500
 
@@ -109,8 +114,8 @@
     }
 }
 
-/* How long a status request waits for the position that it names. */
-#define POSITION_TIMEOUT_MS 400
+/* As POSITION_TIMEOUT_MS, where the dialect keeps sessions. */
+#define SESSION_POSITION_TIMEOUT_MS 400
 
 void
 ss_monitor_answer (SsNode *node, SsOwned *owned)
@@ -294,7 +299,7 @@
 static int64_t
 status_wait_ms (SsNode *node, const SsOwned *owned)
 {
-  int64_t wait_ms = POSITION_TIMEOUT_MS;
+  int64_t wait_ms = SESSION_POSITION_TIMEOUT_MS;
 
   for (guint i = 0; i < owned->asks->len; i++)
     {
@@ -440,7 +445,7 @@
   ask->held = ss_position_unpack (m->held);
   ask->poll = owned->poll + 1;
   ask->poll_ms = node->now_ms;
-  ask->expires_ms = node->now_ms + STATUS_TIMEOUT_MS;
+  ask->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
   g_ptr_array_add (owned->asks, ask);
   if (!ask->held.offset || !ss_dialect_keeps_sessions (node->dialect))
     {
@@ -449,7 +454,7 @@
     }
   ask->poll = 0;
   ask->poll_ms = node->now_ms + m->poll_after_ms;
-  ask->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
+  ask->expires_ms = node->now_ms + SESSION_POSITION_TIMEOUT_MS;
   owned->poll_due_ms = MIN (owned->poll_due_ms, ask->poll_ms);
   ss_monitor_answer (node, owned);
 }
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -1,3 +1,6 @@
+/* promote: promotions, from failure detection to the new primary's name in the
+ * group's object.
+ */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -4,10 +4,11 @@
  * A VM sends heartbeats only to the relays of its failure domain.  A relay
  * answers each with a digest: the VMs of its own failure domain that it hears
  * directly, and those of other failure domains that their relays report.
- * Relays of different failure domains send each other reports on their own.  A
- * list that the receiver already has is replaced by its hash.  So the messages
- * of a VM grow with the number of relays, those of a relay with the VMs of its
- * failure domain, and those between failure domains with the number of these.
+ * Relays of different failure domains send each other reports of the VMs of
+ * their own failure domain.  A list that the receiver already has is replaced
+ * by its hash.  So the messages of a VM grow with the number of relays, those
+ * of a relay with the VMs of its failure domain, and those between failure
+ * domains with the number of these.
  *
  * A digest contains nothing learned from another digest, so relays can't keep a
  * dead VM live by repeating each other.
