--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -1,24 +1,28 @@
-/* lease: for how long a primary may be used without asking its group.
+/* lease: how long a VM may use a primary without asking the group's servers.
  *
- * The platform's object of a group names its primary.  Where the platform,
- * asked at some time, says that the object is still as this vm holds it, the
- * vm may take that primary for the only one for SS_LEASE_MS from that time.
- * A vm's own object names the groups that it holds leases for.  A change of
- * primary begins with a write to the group's object, and goes on only once
- * every holder has taken it over, by its word or by its object, or that time
- * has passed (ss_lease_is_released).  A vm that the platform does not answer
- * asks a majority of the servers instead (hold.c).
+ * The platform's object of a group names its primary.  When the platform
+ * confirms that the object is unchanged since this VM adopted it, the VM holds
+ * a lease: it may rely on that primary being the only one for SS_LEASE_MS from
+ * the time it sent the request.  A VM's own object names the groups that it
+ * holds leases on.  A promotion starts with a write to the group's object, the
+ * claim, and proceeds only when every holder has adopted the claim, which its
+ * reply or its object shows, or when all leases have expired
+ * (ss_lease_is_released).  Where the platform answers neither a VM nor any that
+ * it hears, the VM asks a majority of the servers instead (hold.c).
  */
 #include <string.h>
 
 #include "core/internal.h"
 
-/* Well below the lease, so that one lost answer does not end it. */
+/* Renewal interval: well below SS_LEASE_MS, so that a single lost answer does
+ * not let the lease expire.
+ */
 #define RENEW_MS 800
-#define RENEW_AGAIN_MS 200
-#define ASK_TIMEOUT_MS 1500
-/* The clocks of two vms run apart by less than this in a lease. */
-#define DRIFT_MS 50
+/* Retry interval after a failed renewal. */
+#define RENEW_RETRY_MS 200
+#define LIST_TIMEOUT_MS 1500
+/* Bound on the clock drift between two VMs during a lease. */
+#define CLOCK_DRIFT_MS 50
 
 bool
 ss_lease_holds (const SsNode *node, const SsGroup *group)
@@ -28,7 +32,7 @@
          && node->now_ms - group->confirmed_ms < SS_LEASE_MS;
 }
 
-/* --- the vms that a claim waits for --- */
+/* --- listing the holders that a claim waits for --- */
 
 static gboolean
 begin_listing (gpointer key, gpointer value, gpointer data)
@@ -36,14 +40,16 @@
   SsPromotion *p = value;
 
   (void) key;
-  if (p->vms_listed != SS_LIST_WANTED)
+  if (p->vm_list != SS_VM_LIST_WANTED)
     return FALSE;
-  p->vms_listed = SS_LIST_ASKED;
+  p->vm_list = SS_VM_LIST_REQUESTED;
   *(bool *) data = true;
   return FALSE;
 }
 
-/* One list is out at a time; a claim needs one that was asked for after it. */
+/* At most one list request is outstanding.  A claim needs a list that was
+ * requested after it took effect.
+ */
 static void
 list_vms (SsNode *node)
 {
@@ -71,21 +77,22 @@
   SsPromotion *p = value;
 
   (void) key;
-  if (p->vms_listed == SS_LIST_ASKED)
-    p->vms_listed = *(SsListing *) data;
+  if (p->vm_list == SS_VM_LIST_REQUESTED)
+    p->vm_list = *(SsVmListState *) data;
   return FALSE;
 }
 
 static void
-take_vms (SsNode *node, SsPlatformOutcome outcome)
+handle_vm_list (SsNode *node, SsPlatformOutcome outcome)
 {
-  SsListing state = outcome == SS_PLATFORM_DONE ? SS_LISTED : SS_LIST_WANTED;
+  SsVmListState state
+      = outcome == SS_PLATFORM_DONE ? SS_VM_LIST_RECEIVED : SS_VM_LIST_WANTED;
 
   node->vms_listing = false;
   g_tree_foreach (node->promotions, end_listing, &state);
 }
 
-/* --- keeping it --- */
+/* --- renewing leases --- */
 
 static gboolean
 find_owned_primary (gpointer key, gpointer value, gpointer data)
@@ -113,14 +120,14 @@
 typedef struct
 {
   const SsNode *node;
-  GPtrArray *up; /* of names; NULL: only whether there is any */
+  GPtrArray *up; /* of names; NULL: only sets found */
   bool found;
-} Search;
+} PeerSearch;
 
 static gboolean
-find_up (gpointer key, gpointer value, gpointer data)
+find_platform_up (gpointer key, gpointer value, gpointer data)
 {
-  Search *s = data;
+  PeerSearch *s = data;
   const SsMember *m = value;
 
   if (!m->live || !m->platform_up || strcmp (key, s->node->params.vm) == 0)
@@ -135,25 +142,27 @@
 bool
 ss_lease_may_ask_servers (const SsNode *node)
 {
-  Search s = { node, NULL, false };
+  PeerSearch s = { node, NULL, false };
 
   if (!node->dialect->platform_promotes)
     return true;
   if (!node->platform_down)
     return false;
-  g_tree_foreach (node->members.by_name, find_up, &s);
+  g_tree_foreach (node->members.by_name, find_platform_up, &s);
   return !s.found;
 }
 
-/* The platform does not answer here: any vm that it answers will do. */
+/* Renews through a random live VM that the platform answers, as the platform
+ * does not answer this VM.
+ */
 static void
-ask_peer (SsNode *node)
+renew_through_peer (SsNode *node)
 {
-  Search s = { node, g_ptr_array_new (), false };
+  PeerSearch s = { node, g_ptr_array_new (), false };
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__LeaseAsk ask = SS__PEER__LEASE_ASK__INIT;
 
-  g_tree_foreach (node->members.by_name, find_up, &s);
+  g_tree_foreach (node->members.by_name, find_platform_up, &s);
   if (s.found)
     {
       guint choice
@@ -169,9 +178,9 @@
 }
 
 static void
-send_list (SsNode *node)
+request_group_list (SsNode *node)
 {
-  node->lease_due_ms = node->now_ms + ASK_TIMEOUT_MS;
+  node->lease_due_ms = node->now_ms + LIST_TIMEOUT_MS;
   node->lease_asked_ms = node->now_ms;
   ss_node_push (node, SS_ACTION_PLATFORM_LIST)->id = SS_FEED_GROUPS;
 }
@@ -186,7 +195,7 @@
   asker->asked_ms = node->now_ms;
   g_queue_push_tail (&node->lease_askers, asker);
   if (!node->lease_asked_ms)
-    send_list (node);
+    request_group_list (node);
 }
 
 void
@@ -227,8 +236,8 @@
   g_free (versions);
 }
 
-/* Answers those who asked before the list was asked for; others need another
- * one.
+/* Answers the VMs that asked before the list was requested.  Later ones need a
+ * new list.
  */
 static void
 answer_askers (SsNode *node, const SsEvent *list, int64_t asked_ms)
@@ -243,7 +252,7 @@
       ss_lease_asker_free (g_queue_pop_head (&node->lease_askers));
     }
   if (asker)
-    send_list (node);
+    request_group_list (node);
 }
 
 void
@@ -253,18 +262,20 @@
       || !owns_primary (node))
     return;
   if (node->platform_down)
-    ask_peer (node);
+    renew_through_peer (node);
   if (!node->lease_asked_ms)
-    send_list (node);
+    request_group_list (node);
   else
-    node->lease_due_ms = node->now_ms + RENEW_AGAIN_MS;
+    node->lease_due_ms = node->now_ms + RENEW_RETRY_MS;
 }
 
-/* A lease counts only where this vm was listed as its holder before it asked:
- * who claims the group later then sees either the holder or its release.
+/* Extends the lease on group NAME.  A lease is valid only if this VM's object
+ * named it before the request was sent: a VM that claims the group later then
+ * sees either the holder or its release.
  */
 static void
-confirm (SsNode *node, const char *name, int64_t version, int64_t asked_ms)
+confirm_lease (SsNode *node, const char *name, int64_t version,
+               int64_t asked_ms)
 {
   SsGroup *group = ss_config_group (&node->config, name);
   const int64_t *since_ms = g_hash_table_lookup (node->leases, name);
@@ -286,8 +297,8 @@
     }
   node->lease_due_ms = node->lease_peer_ms + RENEW_MS;
   for (size_t i = 0; i < reply->n_groups; i++)
-    confirm (node, reply->groups[i]->group, reply->groups[i]->version,
-             node->lease_peer_ms);
+    confirm_lease (node, reply->groups[i]->group, reply->groups[i]->version,
+                   node->lease_peer_ms);
 }
 
 void
@@ -296,7 +307,7 @@
   int64_t asked_ms = node->lease_asked_ms;
 
   if (e->platform_objects.feed == SS_FEED_VMS)
-    take_vms (node, e->platform_objects.outcome);
+    handle_vm_list (node, e->platform_objects.outcome);
   if (e->platform_objects.feed != SS_FEED_GROUPS || !node->lease_asked_ms)
     return;
   node->lease_asked_ms = 0;
@@ -304,36 +315,38 @@
     {
       node->lease_due_ms = asked_ms + RENEW_MS;
       for (uint32_t i = 0; i < e->platform_objects.object_count; i++)
-        confirm (node, strchr (e->platform_objects.objects[i].key, '/') + 1,
-                 e->platform_objects.objects[i].version, asked_ms);
+        confirm_lease (node,
+                       strchr (e->platform_objects.objects[i].key, '/') + 1,
+                       e->platform_objects.objects[i].version, asked_ms);
     }
   else
-    node->lease_due_ms = node->now_ms + RENEW_AGAIN_MS;
+    node->lease_due_ms = node->now_ms + RENEW_RETRY_MS;
   answer_askers (node, e, asked_ms);
 }
 
-/* --- ending it everywhere --- */
+/* --- releasing leases before a promotion --- */
 
-/* Every lease on a primary was confirmed before the platform's object named
- * none, and so before this vm held that object.
+/* Whether all leases on the previous primary have expired.  Each was confirmed
+ * before the platform's object stopped naming a primary, and so before this VM
+ * adopted that object.
  */
 static bool
-is_over (const SsNode *node, const SsPromotion *p)
+is_expired (const SsNode *node, const SsPromotion *p)
 {
   const SsGroup *group = ss_config_group (&node->config, p->group);
   int64_t since_ms = p->since_ms;
 
   if (group && group->unnamed_ms)
     since_ms = MIN (since_ms, group->unnamed_ms);
-  return node->now_ms - since_ms >= SS_LEASE_MS + DRIFT_MS;
+  return node->now_ms - since_ms >= SS_LEASE_MS + CLOCK_DRIFT_MS;
 }
 
 bool
 ss_lease_is_released (SsNode *node, SsPromotion *p)
 {
-  if (is_over (node, p))
+  if (is_expired (node, p))
     return true;
-  return p->vms_listed == SS_LISTED
+  return p->vm_list == SS_VM_LIST_RECEIVED
          && !ss_directory_has_holder (node, p->group, p->released);
 }
 
@@ -344,7 +357,7 @@
 } Release;
 
 static gboolean
-ask_one (gpointer key, gpointer value, gpointer data)
+ask_member (gpointer key, gpointer value, gpointer data)
 {
   Release *r = data;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -368,7 +381,7 @@
   Release r = { node, p };
 
   list_vms (node);
-  g_tree_foreach (node->members.by_name, ask_one, &r);
+  g_tree_foreach (node->members.by_name, ask_member, &r);
 }
 
 void
@@ -377,7 +390,7 @@
   if (!p->released)
     p->released = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_remove_all (p->released);
-  p->vms_listed = SS_LIST_WANTED;
+  p->vm_list = SS_VM_LIST_WANTED;
   list_vms (node);
 }
 
--- a/src/core/monitor.c
+++ b/src/core/monitor.c
@@ -1,3 +1,6 @@
+/* monitor: polls and reports the state of a target that this VM owns, and gives
+ * the target its role, over a control connection.
+ */
 #include <string.h>
 
 #include "core/owner.h"
@@ -5,7 +8,11 @@
 #define CONTROL_RETRY_MS 100
 #define CONTROL_TIMEOUT_MS 3000
 #define CONNECT_TIMEOUT_MS 1000
-#define ASK_HOLD_MS 80
+/* How long a status request waits for the position that it names, where the
+ * dialect does not keep sessions.
+ */
+#define POSITION_TIMEOUT_MS 80
+/* A subscription expires after this unless it is renewed. */
 #define SUBSCRIPTION_MS 3500
 
 /* --- reports --- */
@@ -107,7 +114,8 @@
     }
 }
 
-#define HELD_HOLD_MS 400
+/* As POSITION_TIMEOUT_MS, where the dialect keeps sessions. */
+#define SESSION_POSITION_TIMEOUT_MS 400
 
 void
 ss_monitor_answer (SsNode *node, SsOwned *owned)
@@ -129,7 +137,7 @@
       send_report (node, owned, ask->vm, ask->ask);
       g_ptr_array_remove_index (owned->asks, i - 1);
     }
-  /* What was answered without a poll needs none. */
+  /* No poll is needed once no request is left. */
   if (!owned->asks->len && ss_dialect_keeps_sessions (node->dialect))
     owned->poll_due_ms = MAX (
         owned->poll_due_ms, owned->polled_ms + node->params.pace.poll_idle_ms);
@@ -159,8 +167,8 @@
                  node->dialect->status (node->dialect));
 }
 
-/* What the server has to be told so that it is what the group says; NULL
- * where nothing has to be.
+/* Returns the SQL that gives the server the role that its group's configuration
+ * says, to be freed, or NULL if it already has that role.
  */
 static char *
 reconcile (SsNode *node, SsOwned *owned, SsControlStep *step)
@@ -210,16 +218,16 @@
   owned->raise_term = 0;
 }
 
-/* The next thing to do on an idle control connection. */
+/* Starts the next statement on an idle control connection. */
 static void
-next_step (SsNode *node, SsOwned *owned)
+start_next_statement (SsNode *node, SsOwned *owned)
 {
   SsControlStep step = SS_CONTROL_NONE;
   char *sql;
 
   if (!owned->control || owned->control->state != SS_CONNECTION_IDLE)
     return;
-  /* A raise is answered from a poll made after it. */
+  /* Raise requests are answered from a poll that starts after the raise. */
   if (owned->raise_term && owned->target->state.shown_term < owned->raise_term)
     {
       start_control (node, owned, SS_CONTROL_RAISE,
@@ -260,14 +268,14 @@
 }
 
 static void
-take_poll (SsNode *node, SsOwned *owned, const SsTargetResult *result)
+handle_poll (SsNode *node, SsOwned *owned, const SsTargetResult *result)
 {
   SsTarget *t = owned->target;
   SsServerState old = t->state;
   SsServerState state = { 0 };
   SsGroup *group = ss_owned_group (node, owned);
 
-  /* Any answer shows that the server lives. */
+  /* Any answer, also an error, shows that the server is reachable. */
   t->reachable_ms = node->now_ms;
   if (!result->ok
       || !node->dialect->read_status (node->dialect, result->row,
@@ -285,11 +293,13 @@
     ss_hold_check (node, group);
 }
 
-/* When the first of the asks needs a poll. */
+/* Returns the time, in milliseconds, until the first status request needs a
+ * poll.
+ */
 static int64_t
-asked_wait_ms (SsNode *node, const SsOwned *owned)
+status_wait_ms (SsNode *node, const SsOwned *owned)
 {
-  int64_t wait_ms = HELD_HOLD_MS;
+  int64_t wait_ms = SESSION_POSITION_TIMEOUT_MS;
 
   for (guint i = 0; i < owned->asks->len; i++)
     {
@@ -309,7 +319,7 @@
   if (s->applied.offset < s->held.offset)
     wait_ms = node->params.pace.poll_lagging_ms;
   if (owned->asks->len)
-    wait_ms = asked_wait_ms (node, owned);
+    wait_ms = status_wait_ms (node, owned);
   owned->poll_due_ms = node->now_ms + wait_ms;
 }
 
@@ -322,18 +332,18 @@
   owned->control_step = SS_CONTROL_NONE;
   if (step == SS_CONTROL_POLL)
     {
-      take_poll (node, owned, result);
+      handle_poll (node, owned, result);
       schedule_poll (node, owned);
     }
   else
     {
-      /* What came of it is seen by a poll. */
+      /* A poll shows the effect of the statement. */
       owned->poll_due_ms = node->now_ms;
       if (step == SS_CONTROL_RAISE)
         owned->target->state.shown_term
             = MAX (owned->target->state.shown_term, owned->raise_term);
     }
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 static void
@@ -355,7 +365,7 @@
 ss_monitor_ready (SsNode *node, SsOwned *owned)
 {
   owned->poll_due_ms = node->now_ms;
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 void
@@ -409,14 +419,14 @@
   if (node->now_ms - MAX (t->reachable_ms, owned->polled_ms)
       >= node->params.pace.silence_ms)
     owned->poll_due_ms = node->now_ms;
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 void
 ss_monitor_poll_soon (SsNode *node, SsOwned *owned)
 {
   owned->poll_due_ms = node->now_ms;
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
 
 /* --- messages --- */
@@ -435,7 +445,7 @@
   ask->held = ss_position_unpack (m->held);
   ask->poll = owned->poll + 1;
   ask->poll_ms = node->now_ms;
-  ask->expires_ms = node->now_ms + ASK_HOLD_MS;
+  ask->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
   g_ptr_array_add (owned->asks, ask);
   if (!ask->held.offset || !ss_dialect_keeps_sessions (node->dialect))
     {
@@ -444,7 +454,7 @@
     }
   ask->poll = 0;
   ask->poll_ms = node->now_ms + m->poll_after_ms;
-  ask->expires_ms = node->now_ms + HELD_HOLD_MS;
+  ask->expires_ms = node->now_ms + SESSION_POSITION_TIMEOUT_MS;
   owned->poll_due_ms = MIN (owned->poll_due_ms, ask->poll_ms);
   ss_monitor_answer (node, owned);
 }
@@ -482,5 +492,5 @@
     if (strcmp (g_ptr_array_index (owned->raise_vms, i), from) == 0)
       return;
   g_ptr_array_add (owned->raise_vms, g_strdup (from));
-  next_step (node, owned);
+  start_next_statement (node, owned);
 }
--- a/src/core/raise.c
+++ b/src/core/raise.c
@@ -1,11 +1,15 @@
-/* raise: a claim shows its term to enough servers and chooses among them. */
+/* raise: raises the term of enough servers to the term of a claim, and chooses
+ * the new primary among them.
+ */
 #include <string.h>
 
 #include "core/internal.h"
 
-#define RAISE_AGAIN_MS 150
-#define RAISE_MORE_MS 30
-/* A planned change: the last writes reach the replicas in this time. */
+/* Retry interval of raise requests. */
+#define RAISE_RETRY_MS 150
+/* Wait for further servers once enough have raised their term. */
+#define RAISE_GRACE_MS 30
+/* In a planned switchover, the last writes reach the replicas in this time. */
 #define HANDOVER_MS 150
 
 static void
@@ -25,13 +29,13 @@
 }
 
 static bool
-may_be_chosen (const SsPromotion *p, const SsTarget *t)
+is_candidate (const SsPromotion *p, const SsTarget *t)
 {
   return !t->draining && (!p->leaving || strcmp (p->leaving, t->name) != 0);
 }
 
-/* Every majority that may have acknowledged a write has to contain a raised
- * candidate: this many candidates leave room for no other majority.
+/* Returns how many candidates must have raised their term so that every
+ * majority that may have acknowledged a write contains one of them.
  */
 static uint32_t
 candidates_needed (const SsGroup *group)
@@ -39,9 +43,11 @@
   return group->server_count - ss_group_majority (group) + 1;
 }
 
-/* What TARGET held when it was raised; NULL: it was not. */
+/* Returns the log position of TARGET when its term was raised, or NULL if it
+ * was not raised.
+ */
 static const SsPosition *
-raised_held (const SsPromotion *p, const SsTarget *target)
+raised_position (const SsPromotion *p, const SsTarget *target)
 {
   return g_hash_table_lookup (p->raised, target->name);
 }
@@ -54,12 +60,13 @@
   for (uint32_t i = 0; i < group->server_count; i++)
     {
       const SsTarget *t = group->servers[i];
-      const SsPosition *held = raised_held (p, t);
+      const SsPosition *held = raised_position (p, t);
       int32_t order;
 
-      if (!held || !may_be_chosen (p, t))
+      if (!held || !is_candidate (p, t))
         continue;
-      order = best ? ss_position_compare (*held, *raised_held (p, best)) : 1;
+      order
+          = best ? ss_position_compare (*held, *raised_position (p, best)) : 1;
       if (order > 0
           || (order == 0 && p->wanted && strcmp (p->wanted, t->name) == 0))
         best = t;
@@ -67,28 +74,30 @@
   return best;
 }
 
-/* A server that has all that any raised one holds has all that a majority
- * may have acknowledged, if enough of them were raised.
+/* Whether the best candidate is at or past the position of every raised server
+ * and enough servers are raised.  It then has every write that a majority may
+ * have acknowledged.
  */
 static bool
-is_covered (const SsPromotion *p, const SsGroup *group, uint32_t raised)
+covers_majority (const SsPromotion *p, const SsGroup *group,
+                 uint32_t raised_count)
 {
   const SsTarget *best = best_candidate (p, group);
   SsPosition highest = { 0, 0 };
 
   for (uint32_t i = 0; i < group->server_count; i++)
     {
-      const SsPosition *held = raised_held (p, group->servers[i]);
+      const SsPosition *held = raised_position (p, group->servers[i]);
 
       if (held)
         highest = ss_position_max (highest, *held);
     }
-  return best && raised >= candidates_needed (group)
-         && ss_position_compare (*raised_held (p, best), highest) >= 0;
+  return best && raised_count >= candidates_needed (group)
+         && ss_position_compare (*raised_position (p, best), highest) >= 0;
 }
 
 static void
-name_primary (SsNode *node, SsPromotion *p, const SsGroup *group)
+choose_primary (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *best = best_candidate (p, group);
 
@@ -103,7 +112,7 @@
       return;
     }
   ss_promote_enter (node, p, SS_PROMOTE_NAME);
-  ss_promote_put (node, p, p->chosen);
+  ss_promote_write_group (node, p, p->chosen);
 }
 
 static bool
@@ -115,38 +124,39 @@
 void
 ss_raise_tick (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
-  uint32_t raised = 0;
+  uint32_t raised_count = 0;
   uint32_t candidates = 0;
 
-  /* What the old primary has taken still reaches its replicas. */
+  /* Lets the old primary's last writes reach its replicas first. */
   if (p->leaving && node->dialect->platform_promotes
       && node->now_ms - p->since_ms < HANDOVER_MS)
     return;
   for (uint32_t i = 0; i < group->server_count; i++)
     {
-      if (!raised_held (p, group->servers[i]))
+      if (!raised_position (p, group->servers[i]))
         continue;
-      raised++;
-      candidates += may_be_chosen (p, group->servers[i]) ? 1 : 0;
+      raised_count++;
+      candidates += is_candidate (p, group->servers[i]) ? 1 : 0;
     }
   if ((candidates >= candidates_needed (group)
-       || (node->dialect->platform_promotes && is_covered (p, group, raised)))
-      && !p->enough_ms)
-    p->enough_ms = node->now_ms;
-  if (p->enough_ms && candidates && is_released (node, p)
-      && (raised == group->server_count
-          || node->now_ms - p->enough_ms >= RAISE_MORE_MS))
+       || (node->dialect->platform_promotes
+           && covers_majority (p, group, raised_count)))
+      && !p->quorum_ms)
+    p->quorum_ms = node->now_ms;
+  if (p->quorum_ms && candidates && is_released (node, p)
+      && (raised_count == group->server_count
+          || node->now_ms - p->quorum_ms >= RAISE_GRACE_MS))
     {
-      name_primary (node, p, group);
+      choose_primary (node, p, group);
       return;
     }
-  if (node->now_ms - p->asked_ms < RAISE_AGAIN_MS)
+  if (node->now_ms - p->asked_ms < RAISE_RETRY_MS)
     return;
   p->asked_ms = node->now_ms;
   if (node->dialect->platform_promotes)
     ss_lease_ask_release (node, p);
   for (uint32_t i = 0; i < group->server_count; i++)
-    if (!raised_held (p, group->servers[i]))
+    if (!raised_position (p, group->servers[i]))
       send_raise (node, p, group->servers[i]);
 }
 
@@ -167,7 +177,7 @@
     }
   if (!reply->accepted)
     {
-      ss_promote_give_up (node, p, "a server was shown a higher term");
+      ss_promote_give_up (node, p, "a server has a higher term");
       return;
     }
   ss_state_unpack (reply->state, &state);
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -1,28 +1,33 @@
-/* relay: who lives, where there are too many vms for each to hear all.
+/* relay: hierarchical failure detection, for more VMs than a full mesh of
+ * heartbeats serves.
  *
- * A vm sends heartbeats to the relays of its failure domain only.  A relay
- * answers each with a digest: the vms of its own failure domain that it hears
- * itself, and those of others that their relays report.  Relays of different
- * failure domains send each other reports of their own.  What the receiver
- * has already goes as a hash.  So a vm's messages grow with the relays, a
- * relay's with the vms of its failure domain, and what goes between failure
- * domains with their number.
+ * A VM sends heartbeats only to the relays of its failure domain.  A relay
+ * answers each with a digest: the VMs of its own failure domain that it hears
+ * directly, and those of other failure domains that their relays report.
+ * Relays of different failure domains send each other reports of the VMs of
+ * their own failure domain.  A list that the receiver already has is replaced
+ * by its hash.  So the messages of a VM grow with the number of relays, those
+ * of a relay with the VMs of its failure domain, and those between failure
+ * domains with the number of these.
  *
- * A digest holds nothing that came from another digest: a vm that is gone
- * can't be kept alive by relays that repeat each other.
+ * A digest contains nothing learned from another digest, so relays can't keep a
+ * dead VM live by repeating each other.
  */
 #include <string.h>
 #include <xxhash.h>
 
 #include "core/internal.h"
 
-/* A report in full at the latest after this, for relays that have begun anew.
+/* A relay gets a full report at least this often, as it may have restarted and
+ * lost the previous one.
  */
-#define REPORT_FULL_MS 2000
-/* Another configuration than a relay's is fetched this often at most. */
-#define PULL_AGAIN_MS 1000
+#define FULL_REPORT_INTERVAL_MS 2000
+/* Minimum interval between fetches of a configuration that differs from the
+ * relay's.
+ */
+#define PULL_INTERVAL_MS 1000
 
-/* The last report in full that a relay got. */
+/* The last full report that a relay got. */
 typedef struct
 {
   uint64_t hash;
@@ -44,7 +49,7 @@
   g_hash_table_destroy (node->reports);
 }
 
-/* --- what this vm tells --- */
+/* --- sending digests, reports and heartbeats --- */
 
 typedef struct
 {
@@ -54,7 +59,7 @@
 } Collect;
 
 static bool
-is_own (const SsNode *node, const SsMember *m)
+is_own_domain (const SsNode *node, const SsMember *m)
 {
   return strcmp (m->failure_domain, node->params.failure_domain) == 0;
 }
@@ -64,9 +69,9 @@
 {
   if (strcmp (m->vm, node->params.vm) == 0)
     return true;
-  if (is_own (node, m))
+  if (is_own_domain (node, m))
     return node->now_ms - m->heard_ms < SS_MEMBER_SILENCE_MS;
-  return node->now_ms - m->remote_ms < SS_MEMBER_REPORTED_MS;
+  return node->now_ms - m->remote_report_ms < SS_MEMBER_REPORTED_MS;
 }
 
 static gboolean
@@ -76,7 +81,8 @@
   SsMember *m = value;
 
   (void) key;
-  if ((!c->own_only || is_own (c->node, m)) && is_known_live (c->node, m))
+  if ((!c->own_only || is_own_domain (c->node, m))
+      && is_known_live (c->node, m))
     g_ptr_array_add (c->found, m);
   return FALSE;
 }
@@ -109,10 +115,10 @@
 {
   Ss__Peer__VmState *states;
   Ss__Peer__VmState **list;
-} Packed;
+} PackedStates;
 
 static void
-packed_init (Packed *p, const GPtrArray *vms)
+packed_states_init (PackedStates *p, const GPtrArray *vms)
 {
   p->states = g_new (Ss__Peer__VmState, vms->len + 1);
   p->list = g_new (Ss__Peer__VmState *, vms->len + 1);
@@ -133,7 +139,7 @@
 }
 
 static void
-packed_finish (Packed *p)
+packed_states_finish (PackedStates *p)
 {
   g_free (p->states);
   g_free (p->list);
@@ -145,9 +151,9 @@
   GPtrArray *vms = collect_live (node, false);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__Digest digest = SS__PEER__DIGEST__INIT;
-  Packed p;
+  PackedStates p;
 
-  packed_init (&p, vms);
+  packed_states_init (&p, vms);
   digest.hash = hash_view (vms);
   digest.full = digest.hash != known_hash;
   digest.config_hash = node->config.hash;
@@ -159,19 +165,19 @@
   e.body_case = SS__PEER__ENVELOPE__BODY_DIGEST;
   e.digest = &digest;
   ss_node_send (node, vm, &e);
-  packed_finish (&p);
+  packed_states_finish (&p);
   g_ptr_array_free (vms, TRUE);
 }
 
 static void
-add_domain (gpointer key, gpointer value, gpointer data)
+append_domain (gpointer key, gpointer value, gpointer data)
 {
   (void) value;
   g_ptr_array_add (data, key);
 }
 
 static gboolean
-note_domain (gpointer key, gpointer value, gpointer data)
+collect_domain (gpointer key, gpointer value, gpointer data)
 {
   const SsMember *m = value;
 
@@ -192,8 +198,8 @@
   RelayList *r = data;
   const SsMember *m = value;
 
-  if (r->node->now_ms - m->relays_ms < SS_MEMBER_SILENCE_MS
-      && !is_own (r->node, m)
+  if (r->node->now_ms - m->domain_report_ms < SS_MEMBER_SILENCE_MS
+      && !is_own_domain (r->node, m)
       && !g_ptr_array_find_with_equal_func (r->relays, key, g_str_equal, NULL))
     g_ptr_array_add (r->relays, key);
   return FALSE;
@@ -220,8 +226,9 @@
   return d->any_live;
 }
 
-/* The relays of FAILURE_DOMAIN.  Who of it is left after a cut that took all
- * known ones can't be told by rank: then every listed vm is.
+/* Adds the relays of FAILURE_DOMAIN.  After a network partition that took all
+ * VMs known to be live there, rank does not tell which VMs remain: then every
+ * listed VM of the failure domain is tried.
  */
 static void
 add_relays_of (SsNode *node, const char *failure_domain, GPtrArray *relays)
@@ -236,9 +243,9 @@
   g_ptr_array_free (d.listed, TRUE);
 }
 
-/* The relays of all other failure domains: those that are known by their rank
- * and those that report themselves, as new ones do before their predecessors
- * are missed here.
+/* Returns the relays of all other failure domains: those that rank first and
+ * those that send reports.  New relays start to report before their
+ * predecessors time out here.
  */
 static GPtrArray *
 other_relays (SsNode *node)
@@ -248,8 +255,8 @@
   GPtrArray *names = g_ptr_array_new ();
   GPtrArray *relays = g_ptr_array_new ();
 
-  g_tree_foreach (node->members.by_name, note_domain, domains);
-  g_hash_table_foreach (domains, add_domain, names);
+  g_tree_foreach (node->members.by_name, collect_domain, domains);
+  g_hash_table_foreach (domains, append_domain, names);
   for (guint i = 0; i < names->len; i++)
     {
       const char *domain = g_ptr_array_index (names, i);
@@ -264,14 +271,16 @@
   return relays;
 }
 
-/* Notes that RELAY gets a report of HASH now; returns whether in full. */
+/* Records that RELAY gets a report with HASH now; returns whether the report
+ * has to be a full one.
+ */
 static bool
-note_report (SsNode *node, const char *relay, uint64_t hash)
+record_report (SsNode *node, const char *relay, uint64_t hash)
 {
   FullReport *last = g_hash_table_lookup (node->reports, relay);
 
   if (last && last->hash == hash
-      && node->now_ms - last->sent_ms < REPORT_FULL_MS)
+      && node->now_ms - last->sent_ms < FULL_REPORT_INTERVAL_MS)
     return false;
   last = g_new (FullReport, 1);
   last->hash = hash;
@@ -281,27 +290,27 @@
 }
 
 static gboolean
-is_old_report (gpointer key, gpointer value, gpointer data)
+is_expired_report (gpointer key, gpointer value, gpointer data)
 {
   const SsNode *node = data;
   const FullReport *last = value;
 
   (void) key;
-  return node->now_ms - last->sent_ms > REPORT_FULL_MS;
+  return node->now_ms - last->sent_ms > FULL_REPORT_INTERVAL_MS;
 }
 
-/* A relay that is only listed has to answer. */
+/* Starts or checks the timeout of a relay that is listed but not live. */
 static void
-note_try (SsNode *node, SsMember *m)
+update_relay_timeout (SsNode *node, SsMember *m)
 {
   if (m->live)
     m->relay_tried_ms = 0;
   else if (!m->relay_tried_ms)
     m->relay_tried_ms = node->now_ms;
-  else if (node->now_ms - m->relay_tried_ms >= SS_MEMBER_RELAY_TRY_MS)
+  else if (node->now_ms - m->relay_tried_ms >= SS_MEMBER_RELAY_TIMEOUT_MS)
     {
       m->relay_tried_ms = 0;
-      m->relay_again_ms = node->now_ms + SS_MEMBER_RELAY_AGAIN_MS;
+      m->relay_retry_ms = node->now_ms + SS_MEMBER_RELAY_BACKOFF_MS;
     }
 }
 
@@ -312,9 +321,9 @@
   GPtrArray *relays = other_relays (node);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__DomainReport report = SS__PEER__DOMAIN_REPORT__INIT;
-  Packed p;
+  PackedStates p;
 
-  packed_init (&p, vms);
+  packed_states_init (&p, vms);
   report.failure_domain = (char *) node->params.failure_domain;
   report.hash = hash_view (vms);
   e.body_case = SS__PEER__ENVELOPE__BODY_DOMAIN_REPORT;
@@ -323,14 +332,14 @@
     {
       const char *relay = g_ptr_array_index (relays, i);
 
-      note_try (node, ss_members_find (&node->members, relay));
-      report.full = note_report (node, relay, report.hash);
+      update_relay_timeout (node, ss_members_find (&node->members, relay));
+      report.full = record_report (node, relay, report.hash);
       report.vms = p.list;
       report.n_vms = report.full ? vms->len : 0;
       ss_node_send (node, relay, &e);
     }
-  g_hash_table_foreach_remove (node->reports, is_old_report, node);
-  packed_finish (&p);
+  g_hash_table_foreach_remove (node->reports, is_expired_report, node);
+  packed_states_finish (&p);
   g_ptr_array_free (relays, TRUE);
   g_ptr_array_free (vms, TRUE);
 }
@@ -341,14 +350,16 @@
   RelayList *r = data;
   const SsMember *m = value;
 
-  if (m->live && is_own (r->node, m) && strcmp (key, r->node->params.vm) != 0
+  if (m->live && is_own_domain (r->node, m)
+      && strcmp (key, r->node->params.vm) != 0
       && !g_ptr_array_find_with_equal_func (r->relays, key, g_str_equal, NULL))
     g_ptr_array_add (r->relays, key);
   return FALSE;
 }
 
-/* Those that relay for this vm.  While that is open, anyone of its failure
- * domain may: the next by rank can be lost as well.
+/* Returns the relays of this VM.  In the grace period after the loss of its
+ * relays, all other live VMs of its failure domain are added, as the next ones
+ * by rank may be lost as well.
  */
 static GPtrArray *
 own_relays (SsNode *node)
@@ -367,7 +378,7 @@
 ss_relay_beat (SsNode *node, SsEnvelope *beat)
 {
   GPtrArray *relays = own_relays (node);
-  bool relays_here = false;
+  bool is_relay = false;
 
   for (guint i = 0; i < relays->len; i++)
     {
@@ -375,14 +386,14 @@
 
       if (strcmp (vm, node->params.vm) == 0)
         {
-          relays_here = true;
+          is_relay = true;
           continue;
         }
-      note_try (node, ss_members_find (&node->members, vm));
+      update_relay_timeout (node, ss_members_find (&node->members, vm));
       beat->heartbeat->digest = ss_views_hash (node, vm);
       ss_node_send (node, vm, beat);
     }
-  if (relays_here)
+  if (is_relay)
     {
       ss_members_told (&node->members, node->now_ms);
       send_reports (node);
@@ -390,10 +401,10 @@
   g_ptr_array_free (relays, TRUE);
 }
 
-/* --- what others tell --- */
+/* --- receiving digests and reports --- */
 
 static void
-take_states (SsNode *node, Ss__Peer__VmState **vms, size_t count)
+apply_states (SsNode *node, Ss__Peer__VmState **vms, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
@@ -421,7 +432,7 @@
   ss_members_told (&node->members, node->now_ms);
   if (digest->full)
     {
-      take_states (node, digest->vms, digest->n_vms);
+      apply_states (node, digest->vms, digest->n_vms);
       ss_views_keep (node, from, m->failure_domain, digest->hash, digest->vms,
                      digest->n_vms);
     }
@@ -429,7 +440,7 @@
     ss_views_refresh (node, from, false);
   if (digest->config_hash == node->config.hash)
     node->config_differs_ms = node->now_ms;
-  else if (node->now_ms - node->config_differs_ms >= PULL_AGAIN_MS
+  else if (node->now_ms - node->config_differs_ms >= PULL_INTERVAL_MS
            && !ss_feeds_watches (node))
     {
       node->config_differs_ms = node->now_ms;
@@ -446,10 +457,10 @@
   if (strcmp (report->failure_domain, node->params.failure_domain) == 0)
     return;
   if (m)
-    m->relays_ms = node->now_ms;
+    m->domain_report_ms = node->now_ms;
   if (report->full)
     {
-      take_states (node, report->vms, report->n_vms);
+      apply_states (node, report->vms, report->n_vms);
       ss_views_keep (node, from, report->failure_domain, report->hash,
                      report->vms, report->n_vms);
     }
--- a/src/core/views.c
+++ b/src/core/views.c
@@ -1,17 +1,18 @@
-/* views: which vms the relays say are live.
+/* views: which VMs the relays report as live.
  *
- * A relay sends its list in full where it changed, and else its hash.
+ * A relay sends its full list of live VMs when the list changed, and otherwise
+ * only the hash of the list.
  */
 #include <string.h>
 
 #include "core/internal.h"
 
-/* The vms that a peer last sent in full. */
+/* The last full list of live VMs from a peer. */
 typedef struct
 {
   uint64_t hash;
-  int64_t said_ms; /* when it was last said to hold */
-  GHashTable *vms; /* names */
+  int64_t confirmed_ms; /* when the peer last confirmed it */
+  GHashTable *vms;      /* names of the VMs */
 } View;
 
 static void
@@ -44,9 +45,9 @@
   return v ? v->hash : 0;
 }
 
-/* Whether a relay of FAILURE_DOMAIN says that VM is live. */
+/* Whether a relay of FAILURE_DOMAIN currently reports VM as live. */
 static bool
-is_said_live (SsNode *node, const char *failure_domain, const char *vm)
+is_reported_live (SsNode *node, const char *failure_domain, const char *vm)
 {
   GHashTableIter iter;
   gpointer relay;
@@ -58,7 +59,7 @@
       const View *v = view;
       const SsMember *m = ss_members_find (&node->members, relay);
 
-      if (node->now_ms - v->said_ms < SS_MEMBER_SILENCE_MS
+      if (node->now_ms - v->confirmed_ms < SS_MEMBER_SILENCE_MS
           && g_hash_table_contains (v->vms, vm) && m
           && strcmp (m->failure_domain, failure_domain) == 0)
         return true;
@@ -66,13 +67,14 @@
   return false;
 }
 
-/* A relay of FAILURE_DOMAIN leaves vms out that it listed before: where no
- * other relay there lists them, they are not waited for any longer.
+/* Expires the reports of the VMs in BEFORE, the previous list of a relay of
+ * FAILURE_DOMAIN, that no relay there lists any longer, so that they count as
+ * dead without a further timeout.
  */
 static void
-drop_omitted (SsNode *node, const char *failure_domain, GHashTable *before)
+expire_omitted (SsNode *node, const char *failure_domain, GHashTable *before)
 {
-  int64_t over_ms = node->now_ms - SS_MEMBER_REPORTED_MS;
+  int64_t expired_ms = node->now_ms - SS_MEMBER_REPORTED_MS;
   GHashTableIter iter;
   gpointer vm;
 
@@ -81,10 +83,10 @@
     {
       SsMember *m = ss_members_find (&node->members, vm);
 
-      if (!m || is_said_live (node, failure_domain, vm))
+      if (!m || is_reported_live (node, failure_domain, vm))
         continue;
-      m->reported_ms = MIN (m->reported_ms, over_ms);
-      m->remote_ms = MIN (m->remote_ms, over_ms);
+      m->reported_ms = MIN (m->reported_ms, expired_ms);
+      m->remote_report_ms = MIN (m->remote_report_ms, expired_ms);
     }
 }
 
@@ -97,14 +99,14 @@
   View *v = g_new0 (View, 1);
 
   v->hash = hash;
-  v->said_ms = node->now_ms;
+  v->confirmed_ms = node->now_ms;
   v->vms = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (size_t i = 0; i < count; i++)
     g_hash_table_add (v->vms, g_strdup (vms[i]->vm));
   g_hash_table_replace (node->views, g_strdup (from), v);
   if (!listed)
     return;
-  drop_omitted (node, failure_domain, listed);
+  expire_omitted (node, failure_domain, listed);
   g_hash_table_unref (listed);
 }
 
@@ -117,7 +119,7 @@
 
   if (!v)
     return;
-  v->said_ms = node->now_ms;
+  v->confirmed_ms = node->now_ms;
   g_hash_table_iter_init (&iter, v->vms);
   while (g_hash_table_iter_next (&iter, &vm, NULL))
     {
@@ -127,6 +129,6 @@
         continue;
       m->reported_ms = node->now_ms;
       if (remote)
-        m->remote_ms = node->now_ms;
+        m->remote_report_ms = node->now_ms;
     }
 }
