--- a/src/core/choice.c
+++ b/src/core/choice.c
@@ -1,21 +1,22 @@
+/* choice: selects the server for a read or a write. */
 #include <string.h>
 
 #include "core/internal.h"
 
 #define VIEW_STALE_MS 3000
-#define REMOTE_PENALTY 4
-#define WAIT_MS_PER_PENALTY 5
+#define REMOTE_LOAD 4
+#define WAIT_MS_PER_LOAD 5
 
-/* Costs of a read whose floor its target checks, in milliseconds: */
-/* a round trip between regions, */
+/* Expected costs of a read whose target checks the floor, in milliseconds. */
+/* Round trip between regions. */
 #define REMOTE_MS 16
-/* room that the primary keeps for writes, */
+/* Reserves capacity of the primary for writes. */
 #define PRIMARY_MS 15
-/* a wait of its own for each request that this vm has there, */
+/* Queueing delay for each request that this VM has at the target. */
 #define MS_PER_OUTSTANDING 10
-/* and a replica's usual lag. */
-#define BEHIND_MS 30
-/* A replica further behind does not catch up while a read waits for it. */
+/* Usual lag of a replica. */
+#define USUAL_LAG_MS 30
+/* A replica with more lag does not catch up while a read waits for it. */
 #define LAG_MAX_MS 150
 
 static bool
@@ -36,25 +37,25 @@
 }
 
 static bool
-shows_floor (const SsTarget *t, SsPosition floor)
+has_applied (const SsTarget *t, SsPosition floor)
 {
   SsPosition translated = ss_position_translate (floor, &t->state.history);
 
   return ss_position_covers (t->state.applied, translated);
 }
 
-/* Lower is better. */
+/* Returns the load of T in requests, as far as it is known here. */
 static uint32_t
 load_of (SsNode *node, const SsTarget *t)
 {
-  uint32_t load = t->outstanding + t->state.wait_ms / WAIT_MS_PER_PENALTY;
+  uint32_t load = t->outstanding + t->state.wait_ms / WAIT_MS_PER_LOAD;
 
   if (strcmp (t->failure_domain, node->params.failure_domain) != 0)
-    load += REMOTE_PENALTY;
+    load += REMOTE_LOAD;
   return load;
 }
 
-/* The cost of an answer by T in milliseconds, as far as it is known here. */
+/* Returns the expected response time of T in milliseconds. */
 static uint32_t
 cost_ms (SsNode *node, const SsTarget *t, bool is_primary, bool covers)
 {
@@ -65,12 +66,12 @@
   if (is_primary)
     cost += PRIMARY_MS;
   if (!covers)
-    cost += MAX (t->state.lag_ms, BEHIND_MS);
+    cost += MAX (t->state.lag_ms, USUAL_LAG_MS);
   return cost;
 }
 
-/* The floor goes to the target with the read, which checks it: a replica that
- * will soon have it will do.
+/* The floor is sent with the read and the target checks it, so a replica that
+ * reaches it soon qualifies too.
  */
 SsTarget *
 ss_choice_checked_read (SsNode *node, const SsRequest *r, SsGroup *group)
@@ -84,7 +85,7 @@
     {
       SsTarget *t = group->servers[i];
       bool is_primary = t == primary;
-      bool covers = is_primary || shows_floor (t, r->floor);
+      bool covers = is_primary || has_applied (t, r->floor);
       uint32_t cost;
 
       if (was_tried (t, r->tried, r->tries) || !is_usable (node, t)
@@ -119,13 +120,13 @@
 
       if (t == primary || t->state.role != SS_SERVER_REPLICA
           || was_tried (t, tried, tried_count) || !is_usable (node, t)
-          || !shows_floor (t, floor))
+          || !has_applied (t, floor))
         continue;
       load = load_of (node, t);
       ties = best && load == best_load ? ties + 1 : 1;
       if (best && load > best_load)
         continue;
-      /* Equal servers are taken with equal chance. */
+      /* Ties are broken at random, with equal probability. */
       if (best && load == best_load
           && g_rand_int_range (node->rand, 0, (gint32) ties) != 0)
         continue;
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -1,7 +1,8 @@
-/* dialect: how a database server is asked for its state and told its term.
+/* dialect: the statements that the proxy sends to database servers.
  *
- * One vtable, so that the reading of what the platform's groups offer stands
- * in one place (docs/ASSUMPTIONS.md).
+ * Queries their state, sets their term and keeps request records.  One vtable
+ * holds all assumptions about what the platform's server groups offer
+ * (docs/ASSUMPTIONS.md).
  */
 #ifndef SS_DIALECT_H
 #define SS_DIALECT_H
@@ -13,29 +14,34 @@
 
 struct SsDialect
 {
-  /* Statements; freed by the caller. */
+  /* The functions that return text build a statement, to be freed by the
+   * caller.
+   */
   char *(*status) (const SsDialect *dialect);
   char *(*raise) (const SsDialect *dialect, const SsTarget *target,
                   uint64_t term);
   char *(*promote) (const SsDialect *dialect, uint64_t term);
   char *(*follow) (const SsDialect *dialect, uint64_t term,
                    const SsTarget *primary);
-  /* Reads a row of the status statement; false where it is malformed. */
+  /* Parses a row of the status statement; returns false where it is malformed.
+   */
   bool (*read_status) (const SsDialect *dialect, const char *const *row,
                        uint32_t cells, SsServerState *state);
-  /* Request records: claims KEY, records TAG for it, looks it up. */
+  /* Request records, which deduplicate retried writes: claim the idempotency
+   * key KEY, record TAG as its result, look the result up.
+   */
   char *(*claim_key) (const SsDialect *dialect, const char *key);
   char *(*record_key) (const SsDialect *dialect, const char *key,
                        const char *tag);
   char *(*find_key) (const SsDialect *dialect, const char *key);
 
-  /* Optional from here on: a dialect whose statements can be told apart.
-   * Sessions are then kept at the entry: what a session sets and prepares is
-   * replayed on the connections that it shares with others, and BEGIN is sent
-   * with the first statement of its transaction.
+  /* The functions below are optional, for a dialect that parses statements.
+   * The entry VM then tracks each session's state: its settings and prepared
+   * statements are replayed on connections that sessions share, and BEGIN is
+   * sent with the first statement of its transaction.
    */
 
-  /* Reads TEXT; an invalid one gets SS_STATEMENT_INVALID. */
+  /* Parses TEXT; the kind of an invalid one is SS_STATEMENT_INVALID. */
   void (*parse) (const SsDialect *dialect, const char *text,
                  SsStatement *statement);
   char *(*reset) (const SsDialect *dialect);
@@ -46,26 +52,32 @@
                     const char *arguments);
   char *(*begin) (const SsDialect *dialect, bool is_read);
   char *(*rollback) (const SsDialect *dialect);
-  /* TEXT with the position that the target must have applied first. */
+  /* Returns TEXT with FLOOR added: the target runs it only once it has applied
+   * that position.
+   */
   char *(*at_floor) (const SsDialect *dialect, SsPosition floor,
                      const char *text);
-  /* What a target has to be told so that it follows its group's PRIMARY (NULL:
-   * none is named) in TERM; NULL where nothing has to be.
+  /* Returns the statement that makes TARGET follow its group's PRIMARY (NULL:
+   * none is named) in TERM, or NULL where none is needed.
    */
   char *(*reconcile) (const SsDialect *dialect, const SsTarget *target,
                       const SsTarget *primary, uint64_t term);
-  /* Servers lead when the platform says so, in a term of their own count. */
+  /* The platform promotes servers, and they count the terms themselves. */
   bool platform_promotes;
 };
 
-/* ss_dialect_keeps_sessions: whether DIALECT has the optional part. */
+/* ss_dialect_keeps_sessions: whether DIALECT has the optional functions, so
+ * that session state is tracked at the entry VM.
+ */
 static inline bool
 ss_dialect_keeps_sessions (const SsDialect *dialect)
 {
   return dialect->parse != NULL;
 }
 
-/* ss_dialect_sql: the functions and the request table in plain SQL. */
+/* ss_dialect_sql: returns the dialect in plain SQL, which calls functions and
+ * keeps request records in a table of the servers.
+ */
 const SsDialect *ss_dialect_sql (void);
 
 #endif
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -46,18 +46,19 @@
   return g_hash_table_lookup (node->sessions, &id);
 }
 
-/* How long a statement may take. */
 static int64_t
-statement_limit_ms (SsNode *node, const SsSession *s)
+statement_timeout_ms (SsNode *node, const SsSession *s)
 {
   const SsService *service = ss_config_service (&node->config, s->service);
 
   return service && service->timeout_ms ? service->timeout_ms : s->deadline_ms;
 }
 
-/* Positions of another group say nothing about the one asked now. */
+/* Resets the floor where it refers to the log of another group: positions of
+ * two groups can't be compared.
+ */
 static void
-check_floor_group (SsSession *s, const SsGroup *group)
+set_floor_group (SsSession *s, const SsGroup *group)
 {
   if (!group || g_strcmp0 (s->floor_group, group->name) == 0)
     return;
@@ -68,7 +69,7 @@
 }
 
 SsRequest *
-ss_entry_start (SsNode *node, SsSession *s, const char *sql)
+ss_entry_create_request (SsNode *node, SsSession *s, const char *sql)
 {
   SsRequest *r = g_new0 (SsRequest, 1);
   SsGroup *group = ss_session_group (node, s);
@@ -78,19 +79,19 @@
   r->sql = g_strdup (sql);
   r->keeps = true;
   r->started_ms = node->now_ms;
-  r->deadline_ms = node->now_ms + statement_limit_ms (node, s);
-  check_floor_group (s, group);
+  r->deadline_ms = node->now_ms + statement_timeout_ms (node, s);
+  set_floor_group (s, group);
   if (group)
-    r->start_ask = ss_marks_get (node, group->name)->last_ask;
+    r->start_seq = ss_marks_get (node, group->name)->last_seq;
   s->request = r;
   g_hash_table_insert (node->requests, &r->id, r);
-  ss_route_draw_trace (node, r);
+  ss_route_assign_trace (node, r);
   ss_budget_first_try (&node->budget);
   return r;
 }
 
 void
-ss_entry_go (SsNode *node, SsRequest *r)
+ss_entry_dispatch (SsNode *node, SsRequest *r)
 {
   if (!r->session->pinned_vm && !ss_route_classify (node, r))
     ss_request_finish (node, r, SS_VERDICT_NOT_RUN, SS_REASON_BAD_SETTING, 0);
@@ -144,13 +145,15 @@
   s->user = g_strdup (user ? user : "");
   s->deadline_ms = node->params.deadline_ms;
   s->status = 'I';
-  /* Without tokens a session is one connection: it begins with no writes. */
+  /* A session that tracks its state has no token and is one connection: it has
+   * no earlier writes to see.
+   */
   s->floor_known = ss_dialect_keeps_sessions (node->dialect);
   group = ss_session_group (node, s);
   if (group && !ss_entry_uses_group (node, group->name))
     node->subscribe_due_ms = node->now_ms;
   if (group)
-    s->arrival_ask = ss_marks_get (node, group->name)->last_ask;
+    s->open_seq = ss_marks_get (node, group->name)->last_seq;
   for (size_t i = 0; settings && settings[i] && !error; i += 2)
     error = ss_session_set (node, s, settings[i], settings[i + 1]);
   if (error)
@@ -170,18 +173,18 @@
   return sql[strspn (sql, " \t\r\n;")] == 0;
 }
 
-/* A statement of a transaction that was lost.  A COMMIT is answered as a
- * rollback, without an error, only to a caller that was told of the loss.
+/* Replies to a statement of a lost transaction.  COMMIT gets the tag ROLLBACK
+ * instead of an error only where the caller already knows of the loss.
  */
 static void
-answer_lost (SsNode *node, SsSession *s, const char *sql)
+reply_transaction_lost (SsNode *node, SsSession *s, const char *sql)
 {
   bool rolls_back = ss_local_first_word (sql, "rollback")
                     || ss_local_first_word (sql, "abort");
   bool ends = ss_local_ends_transaction (sql);
-  bool silent = rolls_back || (ends && !s->loss_untold);
+  bool silent = rolls_back || (ends && !s->loss_unreported);
 
-  ss_session_tell_loss (s, sql);
+  ss_session_note_loss_reported (s, sql);
   ss_session_drop_key (s);
   if (silent)
     ss_session_reply_tag (node, s, "ROLLBACK");
@@ -195,7 +198,7 @@
                     const char *sql)
 {
   SsSession *s = find_session (node, caller);
-  SsLocal local;
+  SsLocal setting;
 
   if (!s || s->request)
     return;
@@ -212,15 +215,15 @@
     }
   if (s->status == 'E' && !s->pinned_vm)
     {
-      answer_lost (node, s, sql);
+      reply_transaction_lost (node, s, sql);
       return;
     }
-  ss_local_init (&local, sql);
-  if (local.kind != SS_LOCAL_NONE)
-    ss_session_run_local (node, s, &local);
+  ss_local_init (&setting, sql);
+  if (setting.kind != SS_LOCAL_NONE)
+    ss_session_run_setting (node, s, &setting);
   else
-    ss_entry_go (node, ss_entry_start (node, s, sql));
-  ss_local_finish (&local);
+    ss_entry_dispatch (node, ss_entry_create_request (node, s, sql));
+  ss_local_finish (&setting);
 }
 
 void
@@ -272,14 +275,17 @@
 ss_request_may_retry (SsNode *node, SsRequest *r, SsVerdict verdict,
                       SsReason reason, bool sent)
 {
-  bool harmless = verdict == SS_VERDICT_NOT_RUN
-                  || (verdict == SS_VERDICT_MAY_HAVE_RUN && r->is_read);
-  bool is_kept = ss_dialect_keeps_sessions (node->dialect);
-
-  /* A transaction runs on one connection from its first statement on. */
-  if (!harmless || r->session->pinned_vm || (r->begins && sent)
+  bool is_safe = verdict == SS_VERDICT_NOT_RUN
+                 || (verdict == SS_VERDICT_MAY_HAVE_RUN && r->is_read);
+  bool tracks_sessions = ss_dialect_keeps_sessions (node->dialect);
+
+  /* A transaction stays on the connection that ran its first statement.  A
+   * write is retried only where the dialect tracks sessions, and not while the
+   * primary is overloaded or lacks a majority.
+   */
+  if (!is_safe || r->session->pinned_vm || (r->begins && sent)
       || (!r->is_read
-          && (!is_kept || reason == SS_REASON_OVERLOAD
+          && (!tracks_sessions || reason == SS_REASON_OVERLOAD
               || reason == SS_REASON_NO_MAJORITY))
       || reason == SS_REASON_TARGET_ERROR || reason == SS_REASON_CANCELLED
       || reason == SS_REASON_DEADLINE || r->tries >= SS_REQUEST_TRIES_MAX
@@ -291,9 +297,8 @@
   return false;
 }
 
-/* Tries the read at another server. */
 void
-ss_request_try_again (SsNode *node, SsRequest *r, SsReason reason)
+ss_request_retry (SsNode *node, SsRequest *r, SsReason reason)
 {
   ss_node_count (node, SS_COUNTER_RETRIES);
   ss_node_log (node, SS_EVENT_LOG_REQUEST_RETRIED,
@@ -302,9 +307,9 @@
                r->target, r->vm, ss_reason_name (reason), r->tries + 1,
                node->now_ms - r->started_ms);
   r->tried[r->tries++] = g_strdup (r->target);
-  ss_request_forget_sent (node, r);
+  ss_request_end_try (node, r);
   if (!r->is_read && reason == SS_REASON_NO_PRIMARY)
-    ss_route_again (node, r);
+    ss_route_await_primary (node, r);
   else
     ss_route (node, r);
 }
@@ -336,13 +341,13 @@
       s->pinned_is_read = r->is_read;
       s->transaction = r->id;
     }
-  ss_session_replace (&s->pinned_vm, r->vm);
-  ss_session_replace (&s->pinned_target, r->target);
+  ss_session_replace_text (&s->pinned_vm, r->vm);
+  ss_session_replace_text (&s->pinned_target, r->target);
 }
 
-/* Takes the owner's final answer over to the caller. */
+/* Forwards the owner's final reply to the caller. */
 static void
-take_answer (SsNode *node, SsRequest *r, const Ss__Peer__RunReply *reply)
+forward_reply (SsNode *node, SsRequest *r, const Ss__Peer__RunReply *reply)
 {
   SsSession *s = r->session;
   SsVerdict verdict = (SsVerdict) reply->verdict;
@@ -357,7 +362,7 @@
   else
     {
       ss_session_lose_transaction (node, s);
-      ss_session_tell_loss (s, r->sql);
+      ss_session_note_loss_reported (s, r->sql);
     }
   ss_session_drop_key (s);
   ss_request_log_end (node, r, verdict, (SsReason) reply->reason);
@@ -390,9 +395,9 @@
     }
   if (ss_request_may_retry (node, r, (SsVerdict) reply->verdict,
                             (SsReason) reply->reason, reply->sent))
-    ss_request_try_again (node, r, (SsReason) reply->reason);
+    ss_request_retry (node, r, (SsReason) reply->reason);
   else
-    take_answer (node, r, reply);
+    forward_reply (node, r, reply);
 }
 
 bool
--- a/src/core/entry.h
+++ b/src/core/entry.h
@@ -1,6 +1,7 @@
-/* entry: what the modules of the entry's side share: sessions (session.c),
- * the life of a request (request.c), where it goes (route.c), and the events
- * of callers and peers (entry.c).
+/* entry: declarations that the modules on the entry side share: session
+ * settings (session.c), parsed statements (statement.c), the life cycle of a
+ * request (request.c), routing (route.c), and the events of callers and peers
+ * (entry.c).  The entry VM is the one that the caller is connected to.
  */
 #ifndef SS_ENTRY_H
 #define SS_ENTRY_H
@@ -9,47 +10,54 @@
 
 /* --- session.c --- */
 
-/* ss_session_set: returns NULL, or what is wrong with VALUE; NULL resets. */
+/* ss_session_set: sets NAME to VALUE, or resets it where VALUE is NULL.
+ * Returns NULL, or a static error message.
+ */
 const char *ss_session_set (SsNode *node, SsSession *s, const char *name,
                             const char *value);
 /* ss_session_run_local: answers SET, RESET or SHOW of sapphirestair.*. */
-void ss_session_run_local (SsNode *node, SsSession *s, const SsLocal *local);
-/* ss_session_replace: copies VALUE to FIELD; an empty one becomes NULL. */
-void ss_session_replace (char **field, const char *value);
+void ss_session_run_setting (SsNode *node, SsSession *s,
+                             const SsLocal *setting);
+/* ss_session_replace_text: frees *FIELD and sets it to a copy of VALUE, or to
+ * NULL where VALUE is NULL or empty.
+ */
+void ss_session_replace_text (char **field, const char *value);
 
-/* ss_entry_refuse_open: ends a caller that has no session; TEXT may be NULL. */
+/* ss_entry_refuse_open: refuses and disconnects CALLER, which has no session.
+ * TEXT may be NULL.
+ */
 void ss_entry_refuse_open (SsNode *node, uint64_t caller, SsReason reason,
                            const char *text);
 
-/* --- opens.c: callers that come while this vm starts --- */
+/* --- opens.c: callers that connect during start-up --- */
 
-/* ss_opens_add: has CALLER wait until this vm is ready. */
+/* ss_opens_add: queues CALLER until this VM is ready. */
 void ss_opens_add (SsNode *node, uint64_t caller, const char *service,
                    const char *user);
 void ss_opens_remove (SsNode *node, uint64_t caller);
 
 /* --- statement.c --- */
 
-/* ss_session_statement: a statement of a dialect whose statements can be told
- * apart.
- */
+/* ss_session_statement: runs TEXT, where the dialect parses statements. */
 void ss_session_statement (SsNode *node, SsSession *s, const char *label,
                            const char *text);
-/* ss_entry_start: makes a request of S; its fields can be set before
- * ss_entry_go.
+/* ss_entry_create_request: creates a request of S.  Its fields can be changed
+ * until ss_entry_dispatch.
  */
-SsRequest *ss_entry_start (SsNode *node, SsSession *s, const char *sql);
-/* ss_entry_go: classifies and routes R. */
-void ss_entry_go (SsNode *node, SsRequest *r);
+SsRequest *ss_entry_create_request (SsNode *node, SsSession *s,
+                                    const char *sql);
+/* ss_entry_dispatch: classifies and routes R. */
+void ss_entry_dispatch (SsNode *node, SsRequest *r);
 
 /* --- request.c --- */
 
 SsGroup *ss_session_group (SsNode *node, const SsSession *s);
-/* ss_session_identity: the caller, where its service knows callers; else "".
+/* ss_session_identity: returns the user name where the service tells callers
+ * apart by it, else "".
  */
 const char *ss_session_identity (SsNode *node, const SsSession *s);
-/* ss_session_reply: a final answer to the caller; the result may be filled
- * in.
+/* ss_session_reply: sends the final reply to the caller.  Returns the action,
+ * so that the result can be filled in.  RETRY_AFTER_MS is a hint to the caller.
  */
 SsAction *ss_session_reply (SsNode *node, const SsSession *s, SsVerdict verdict,
                             SsReason reason, uint32_t retry_after_ms);
@@ -58,62 +66,73 @@
                         const char *text);
 void ss_session_unpin (SsSession *s);
 void ss_session_drop_key (SsSession *s);
-/* ss_session_send_end: ROLLS_BACK: the session goes on without its
- * transaction; else its connection is closed.
+/* ss_session_send_end: tells VM to release the session's connection.  With
+ * ROLLS_BACK the transaction is rolled back and the session continues; else the
+ * connection is closed.
  */
 void ss_session_send_end (SsNode *node, const SsSession *s, const char *vm,
                           bool rolls_back);
+/* ss_session_lose_transaction: marks the transaction of S as lost. */
 void ss_session_lose_transaction (SsNode *node, SsSession *s);
-/* ss_session_tell_loss: SQL is answered with an error, which tells the caller
- * that its transaction is lost; one that ends it leaves none.
+/* ss_session_note_loss_reported: notes that the reply to SQL tells the caller
+ * of the lost transaction.  Leaves no transaction where SQL ends it.
  */
-void ss_session_tell_loss (SsSession *s, const char *sql);
+void ss_session_note_loss_reported (SsSession *s, const char *sql);
+/* ss_session_raise_floor: raises the minimum position for reads of S. */
 void ss_session_raise_floor (SsSession *s, SsPosition position);
-/* ss_session_send_token: tells the caller its floor. */
+/* ss_session_send_token: sends the caller its floor, as a session token. */
 void ss_session_send_token (SsNode *node, const SsSession *s);
 
 void ss_request_free (SsRequest *r);
+/* ss_request_log_span: logs the tracing span of R, where spans are on. */
 void ss_request_log_span (SsNode *node, const SsRequest *r, SsVerdict verdict);
-/* ss_request_log_end: how R ended and what decided it. */
+/* ss_request_log_end: logs how R ended, and why. */
 void ss_request_log_end (SsNode *node, const SsRequest *r, SsVerdict verdict,
                          SsReason reason);
 /* ss_request_may_retry: whether R, which ended with VERDICT and REASON, may be
- * tried again; SENT: a target may have run it.
+ * retried.  Takes one retry from the budget if so.  SENT: a target may have run
+ * it.
  */
 bool ss_request_may_retry (SsNode *node, SsRequest *r, SsVerdict verdict,
                            SsReason reason, bool sent);
-/* ss_request_try_again: at another server, or at the next primary. */
-void ss_request_try_again (SsNode *node, SsRequest *r, SsReason reason);
-/* ss_request_cancel: tells its owner that R is not waited for. */
+/* ss_request_retry: retries a read on another server, or a write on the
+ * next primary.
+ */
+void ss_request_retry (SsNode *node, SsRequest *r, SsReason reason);
+/* ss_request_cancel: tells the owner that the result of R is not needed. */
 void ss_request_cancel (SsNode *node, const SsRequest *r);
-/* ss_request_forget_sent: the present try is over. */
-void ss_request_forget_sent (SsNode *node, SsRequest *r);
+/* ss_request_end_try: ends the current try of R: it is at no target now. */
+void ss_request_end_try (SsNode *node, SsRequest *r);
+/* ss_request_begin_wait: has R wait for WAIT for at most WAIT_MS. */
 void ss_request_begin_wait (SsNode *node, SsRequest *r, SsWait wait,
                             int64_t wait_ms);
 void ss_request_end_wait (SsNode *node, SsRequest *r);
+/* ss_request_drop: removes and frees R without a reply. */
 void ss_request_drop (SsNode *node, SsRequest *r);
-/* ss_request_finish: answers the caller without a result. */
+/* ss_request_finish: ends R and replies to the caller without a result. */
 void ss_request_finish (SsNode *node, SsRequest *r, SsVerdict verdict,
                         SsReason reason, uint32_t retry_after_ms);
-/* ss_request_abandon: gives up on a request that may be at its owner. */
+/* ss_request_abandon: ends R, which may be at its owner, and loses the
+ * transaction.  The verdict is SS_VERDICT_MAY_HAVE_RUN where R was sent and its
+ * effect may be durable.
+ */
 void ss_request_abandon (SsNode *node, SsRequest *r, SsReason reason);
 
 /* --- route.c --- */
 
-/* ss_route_draw_trace: the caller's trace id, or a new one. */
-void ss_route_draw_trace (SsNode *node, SsRequest *r);
+/* ss_route_assign_trace: gives R the caller's trace id, or a random one. */
+void ss_route_assign_trace (SsNode *node, SsRequest *r);
 
-/* ss_route_classify: decides whether the statement is a read and what it has
- * to see; false where the session's kind is not one of the service's.
+/* ss_route_classify: sets whether R is a read, and its consistency
+ * requirement.  Returns false where the service does not define the session's
+ * kind.
  */
 bool ss_route_classify (SsNode *node, SsRequest *r);
-/* ss_route: sends the request to a target's owner, lets it wait, or refuses
- * it.
- */
+/* ss_route: sends R to the owner of a target, has it wait, or refuses it. */
 void ss_route (SsNode *node, SsRequest *r);
-/* ss_route_again: R's primary refused it: it waits for the primary's next
- * report, or for another one.
+/* ss_route_await_primary: has R, which its primary refused, wait for the
+ * primary's next status report or for a failover; or refuses it.
  */
-void ss_route_again (SsNode *node, SsRequest *r);
+void ss_route_await_primary (SsNode *node, SsRequest *r);
 
 #endif
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -1,4 +1,4 @@
-/* internal: what the modules of the core share with each other. */
+/* internal: declarations that the modules of the core share. */
 #ifndef SS_INTERNAL_H
 #define SS_INTERNAL_H
 
@@ -9,6 +9,7 @@
 #include "core/writers.h"
 #include "proto/peer.pb-c.h"
 
+/* Retry-after hints to callers. */
 #define SS_RETRY_SOON_MS 100
 #define SS_RETRY_PROMOTION_MS 250
 
@@ -42,13 +43,13 @@
 
 typedef struct SsRequest SsRequest;
 
-/* What keeps a request from being routed. */
+/* What a request waits for before it is routed. */
 typedef enum
 {
   SS_WAIT_NONE,
   SS_WAIT_MARK,   /* a confirmed position of the primary */
-  SS_WAIT_VIEW,   /* a first report of the group's servers */
-  SS_WAIT_PRIMARY /* a change of primary that is under way */
+  SS_WAIT_VIEW,   /* the first status report of the group's servers */
+  SS_WAIT_PRIMARY /* a failover that is under way */
 } SsWait;
 
 typedef struct
@@ -56,26 +57,30 @@
   uint64_t id;
   char *service;
   char *user;
-  char *kind; /* NULL: the service's default */
+  char *kind; /* write, session, strict or one of the service's kinds of read;
+                 NULL: the service's default */
   bool strict;
-  char *request_key; /* NULL: none */
-  char *trace;       /* NULL: drawn for each request */
+  char *request_key; /* idempotency key; NULL: none */
+  char *trace;       /* trace id; NULL: a new one for each request */
   int64_t deadline_ms;
-  SsPosition floor;
+  SsPosition floor; /* minimum position that its reads must see */
   bool floor_known;
-  uint64_t arrival_ask; /* marks asked for later than this cover it */
-  char *floor_group;    /* whose positions floor is of; NULL: any */
-  SsSessionState state; /* what it set and prepared, where sessions are kept */
+  uint64_t open_seq;    /* SsMarks.last_seq when the session opened: later
+                           confirmed positions cover what came before it */
+  char *floor_group;    /* the group whose log floor refers to; NULL: none */
+  SsSessionState state; /* settings and prepared statements, where the dialect
+                           tracks sessions */
   bool begin_due;       /* BEGIN is sent with the next statement */
   bool begin_is_read;
   bool begin_wrote;   /* a statement of the transaction may have written */
-  uint64_t begin_ask; /* as start_ask of a request; of the transaction */
-  char status;        /* I, T or E */
+  uint64_t begin_seq; /* SsMarks.last_seq when the transaction began */
+  char status;        /* I: idle, T: in a transaction, E: in a failed one */
   char *pinned_vm;    /* while a transaction is open */
   char *pinned_target;
   bool pinned_is_read;
-  uint64_t transaction; /* while pinned: the request that opened it */
-  bool loss_untold;     /* its transaction was lost between two statements */
+  uint64_t transaction; /* while pinned: id of the request that opened it */
+  bool loss_unreported; /* the transaction was lost between two statements and
+                           the caller does not know yet */
   SsRequest *request;
 } SsSession;
 
@@ -83,27 +88,29 @@
 
 struct SsRequest
 {
-  uint64_t id; /* of the present try */
+  uint64_t id; /* of the current try; each try has its own */
   SsSession *session;
-  char *label; /* the caller's id of it; NULL: none */
+  char *label; /* the caller's id of the statement; NULL: none */
   char *sql;
-  char *shape; /* of the prepared statement that it runs; NULL: none */
+  char *shape; /* of the prepared statement that it executes; NULL: none */
   bool shape_is_read;
-  bool begins;  /* opens the transaction that it is in */
-  bool keeps;   /* what it does may outlast it: COMMIT, or a write alone */
-  bool confirm; /* the primary must be one after this came */
+  bool begins;  /* BEGIN is sent before it */
+  bool keeps;   /* its effect may be durable: COMMIT, or a write outside of a
+                   transaction */
+  bool confirm; /* runs only after the target was confirmed as the primary,
+                   later than the request arrived */
   bool is_read;
-  int64_t staleness_ms; /* of the kind; 0: the session's floor */
+  int64_t staleness_ms; /* bound of its kind; 0: the session's floor counts */
   bool strict;
-  uint64_t start_ask;
+  uint64_t start_seq; /* SsMarks.last_seq when it arrived */
   SsPosition floor;
   SsWait wait;
   int64_t wait_due_ms;
   int64_t started_ms;
   int64_t deadline_ms;
-  char *vm; /* sent there; NULL: not sent */
+  char *vm; /* owner that it was sent to; NULL: not sent */
   char *target;
-  uint32_t tries;
+  uint32_t tries; /* that failed, on the targets in tried */
   char *tried[SS_REQUEST_TRIES_MAX];
   char trace[33];
 };
@@ -112,33 +119,44 @@
 void ss_entry_finish (SsNode *node);
 void ss_entry_open (SsNode *node, uint64_t caller, const char *service,
                     const char *user, const char *const *settings);
-/* ss_entry_statement: LABEL is the caller's id of it, or NULL. */
+/* ss_entry_statement: LABEL is the caller's id of the statement, or NULL. */
 void ss_entry_statement (SsNode *node, uint64_t caller, const char *label,
                          const char *sql);
 void ss_entry_cancel (SsNode *node, uint64_t caller);
 void ss_entry_close (SsNode *node, uint64_t caller);
 void ss_entry_reply (SsNode *node, const char *from,
                      const Ss__Peer__RunReply *reply);
-/* ss_entry_end_idle: ends up to COUNT sessions with nothing under way. */
+/* ss_entry_end_idle: ends up to COUNT sessions that have no request and no
+ * transaction.
+ */
 void ss_entry_end_idle (SsNode *node, uint32_t count);
-/* ss_entry_stop: ends idle sessions; returns whether none is left. */
+/* ss_entry_stop: ends idle sessions, or all with FORCE.  Returns whether none
+ * is left.
+ */
 bool ss_entry_stop (SsNode *node, bool force);
+/* ss_entry_uses_group: whether a session here has used GROUP. */
 bool ss_entry_uses_group (SsNode *node, const char *group);
 
 /* --- pending.c: requests that are under way --- */
 
+/* ss_pending_vm_lost: retries or abandons the requests sent to VM, and marks
+ * the transactions pinned there as lost.
+ */
 void ss_pending_vm_lost (SsNode *node, const char *vm);
-/* ss_pending_superseded: GROUP has a later term: what is out at its earlier
- * primary can't be acknowledged any more.
+/* ss_pending_superseded: abandons the writes and the transactions at the
+ * previous primary of GROUP, which has a higher term now: they can't be
+ * acknowledged any more.
  */
 void ss_pending_superseded (SsNode *node, const SsGroup *group);
-/* ss_pending_identities: adds the callers of GROUP that wait for a mark. */
+/* ss_pending_identities: adds to OUT the identities of the callers of GROUP
+ * that wait for a confirmed position.
+ */
 void ss_pending_identities (SsNode *node, const char *group, GPtrArray *out);
 /* ss_pending_wake: routes the requests of GROUP that wait for WAIT. */
 void ss_pending_wake (SsNode *node, const char *group, SsWait wait);
 void ss_pending_tick (SsNode *node);
 
-/* --- local.c: statements about the session itself --- */
+/* --- local.c: SET, RESET and SHOW of session settings --- */
 
 typedef enum
 {
@@ -152,37 +170,47 @@
 {
   SsLocalKind kind;
   char *name;  /* without the prefix */
-  char *value; /* NULL: reset */
+  char *value; /* NULL: RESET */
 } SsLocal;
 
-/* ss_local_init: recognises SET, RESET and SHOW of sapphirestair.*. */
-void ss_local_init (SsLocal *local, const char *sql);
-void ss_local_finish (SsLocal *local);
-/* ss_local_first_word: whether SQL begins with WORD. */
+/* ss_local_init: parses SQL where it is SET, RESET or SHOW of
+ * sapphirestair.*; else the kind is SS_LOCAL_NONE.
+ */
+void ss_local_init (SsLocal *setting, const char *sql);
+void ss_local_finish (SsLocal *setting);
+/* ss_local_first_word: whether SQL begins with WORD, in any case. */
 bool ss_local_first_word (const char *sql, const char *word);
-/* ss_local_is_read_only: BEGIN READ ONLY or START TRANSACTION READ ONLY. */
+/* ss_local_is_read_only: whether SQL is BEGIN READ ONLY or START TRANSACTION
+ * READ ONLY.
+ */
 bool ss_local_is_read_only (const char *sql);
+/* ss_local_ends_transaction: whether SQL is COMMIT, END, ROLLBACK or ABORT. */
 bool ss_local_ends_transaction (const char *sql);
 
-/* --- choice.c: which server answers a read --- */
+/* --- choice.c: selects the server for a read or a write --- */
 
-/* ss_choice_read: the server of GROUP for a read with FLOOR that is not among
- * TRIED, or NULL.  Replicas come first; the primary only where none will do.
+/* ss_choice_read: returns a server of GROUP that is not among TRIED and has
+ * applied FLOOR, or NULL.  Prefers replicas; returns the primary only where no
+ * replica qualifies.
  */
 SsTarget *ss_choice_read (SsNode *node, SsGroup *group, SsPosition floor,
                           char *const *tried, uint32_t tried_count);
-/* ss_choice_checked_read: the same for R, where the target itself checks the
- * floor.
+/* ss_choice_checked_read: returns the server of GROUP with the lowest expected
+ * response time for R, or NULL.  Its target checks the floor itself, so a
+ * replica that is slightly behind qualifies too.
  */
 SsTarget *ss_choice_checked_read (SsNode *node, const SsRequest *r,
                                   SsGroup *group);
-/* ss_choice_write: the primary of GROUP, or NULL where none can be used. */
+/* ss_choice_write: returns the primary of GROUP, or NULL where it is not
+ * usable.
+ */
 SsTarget *ss_choice_write (SsNode *node, SsGroup *group);
 
-/* --- predict.c --- */
+/* --- predict.c: when a group has a primary again --- */
 
-/* ss_predict_primary: whether GROUP will have a primary before DEADLINE_MS;
- * *UNTIL_MS is when it should have one.
+/* ss_predict_primary: whether GROUP is expected to have a primary before
+ * DEADLINE_MS.  Sets *UNTIL_MS to the expected time.  Both are times of the
+ * node's clock in milliseconds.
  */
 bool ss_predict_primary (SsNode *node, const SsGroup *group,
                          int64_t deadline_ms, int64_t *until_ms);
@@ -191,9 +219,10 @@
 
 #define SS_MARKS_MAX 64
 
+/* A position that was the primary's last one at asked_ms or later. */
 typedef struct
 {
-  uint64_t ask; /* which ask it answers */
+  uint64_t seq; /* of the request that it answers; 0: there is none yet */
   int64_t asked_ms;
   SsPosition position;
 } SsMark;
@@ -202,33 +231,39 @@
 {
   char *group;
   SsMark latest;
-  SsMark ring[SS_MARKS_MAX]; /* spaced; oldest first */
+  SsMark ring[SS_MARKS_MAX]; /* at a minimum distance in time, oldest first */
   uint32_t count;
-  uint64_t last_ask;
-  int64_t last_ask_ms;
-  GPtrArray *identities; /* whose floors the present ask asks for */
-  GHashTable *floors;    /* identity -> SsPosition; of the latest mark */
+  uint64_t last_seq; /* number of the last request sent */
+  int64_t last_sent_ms;
+  GPtrArray *identities; /* callers whose floors the last request asks for */
+  GHashTable *floors;    /* identity -> SsPosition, of the last reply */
   bool outstanding;
-  bool wanted; /* again, once the present one is answered */
+  bool requested_again; /* send another one after the outstanding one */
 } SsMarks;
 
+/* ss_marks_get: returns the confirmed positions of GROUP, created if needed. */
 SsMarks *ss_marks_get (SsNode *node, const char *group);
-/* ss_marks_ask: has the primary's position confirmed anew. */
-void ss_marks_ask (SsNode *node, SsMarks *marks);
-/* ss_marks_told: the primary's owner told its position unasked. */
+/* ss_marks_ask: requests a new confirmed position from the primary's owner. */
+void ss_marks_ask (SsNode *node, SsMarks *confirmed);
+/* ss_marks_told: takes an unsolicited POSITION from the primary's owner, which
+ * asked the primary AGE_MS ago.
+ */
 void ss_marks_told (SsNode *node, const char *group, SsPosition position,
                     uint32_t age_ms);
 void ss_marks_reply (SsNode *node, const Ss__Peer__MarkReply *reply);
-/* ss_marks_within: the oldest mark asked for at SINCE_MS or later; false
- * where there is none.
+/* ss_marks_within: sets *FOUND to the oldest confirmed position requested at
+ * SINCE_MS or later; returns false where there is none.
  */
-bool ss_marks_within (const SsMarks *marks, int64_t since_ms, SsMark *mark);
-/* ss_marks_floor: what IDENTITY (may be empty) has to see by the latest mark.
+bool ss_marks_within (const SsMarks *confirmed, int64_t since_ms,
+                      SsMark *found);
+/* ss_marks_floor: returns the minimum position for reads of IDENTITY: its last
+ * write as of the latest reply, or the latest confirmed position where the
+ * reply does not name it or IDENTITY is empty.
  */
-SsPosition ss_marks_floor (const SsMarks *marks, const char *identity);
-void ss_marks_free (gpointer marks);
-/* ss_marks_retry: repeats an ask that got no answer. */
-void ss_marks_retry (SsNode *node, SsMarks *marks);
+SsPosition ss_marks_floor (const SsMarks *confirmed, const char *identity);
+void ss_marks_free (gpointer confirmed);
+/* ss_marks_retry: repeats a request that got no reply in time. */
+void ss_marks_retry (SsNode *node, SsMarks *confirmed);
 
 /* --- owner.c: connections and statements at the targets owned here --- */
 
@@ -483,17 +518,21 @@
  */
 void ss_views_refresh (SsNode *node, const char *from, bool remote);
 
-/* --- opens.c --- */
+/* --- opens.c: callers that connect during start-up --- */
 
 void ss_opens_init (SsNode *node);
 void ss_opens_finish (SsNode *node);
 void ss_opens_tick (SsNode *node);
 
-/* --- isolation.c: a vm that can serve nobody --- */
+/* --- isolation.c: detection of an isolated VM --- */
 
-/* ss_isolation_misses_most: whether most listed vms are not heard. */
-bool ss_isolation_misses_most (const SsNode *node);
-/* ss_isolation_tick: judges whether this vm is cut off. */
+/* ss_isolation_lost_majority: whether less than half of the other VMs that the
+ * platform lists are live.
+ */
+bool ss_isolation_lost_majority (const SsNode *node);
+/* ss_isolation_tick: updates whether this VM is isolated, and ends idle
+ * sessions while it is.
+ */
 void ss_isolation_tick (SsNode *node);
 
 /* --- spread.c: heartbeats and subscriptions --- */
--- a/src/core/isolation.c
+++ b/src/core/isolation.c
@@ -1,30 +1,31 @@
-/* isolation: a vm that neither hears most of the others nor has an answer of
- * the platform.
+/* isolation: detects that this VM is isolated: it receives heartbeats from
+ * less than half of the other VMs, and the platform does not answer.
  *
- * It answers this load: callers stay on the connections that they have, and
- * new ones come by the platform's choice, while their vm can serve nobody.
- * Such a vm says that it takes no callers, and ends the sessions that rest, so
- * that they come back elsewhere.  Where no vm is ready the platform uses all
- * of them, so nothing is lost if every vm steps aside.
+ * An isolated VM can serve nobody, but callers stay on their connections and
+ * the platform routes new ones to it.  It therefore reports that it is not
+ * ready and ends idle sessions, so that their callers reconnect to another VM.
+ * Where no VM is ready the platform uses all of them, so it does no harm if
+ * every VM reports this.
  */
 #include "core/internal.h"
 
-/* Longer than a lost heartbeat, shorter than callers' patience. */
+/* More than the delay of one lost heartbeat, less than the timeouts of callers.
+ */
 #define ISOLATED_AFTER_MS 600
-/* Sessions ended in one tick: their return is spread over some time. */
-#define SESSIONS_A_TICK 4
+/* Sessions ended per tick, to spread the reconnections over time. */
+#define SESSIONS_PER_TICK 4
 
 typedef struct
 {
   const char *self;
   uint32_t listed;
   uint32_t live;
-} Peers;
+} PeerCount;
 
 static gboolean
 count_peer (gpointer key, gpointer value, gpointer data)
 {
-  Peers *p = data;
+  PeerCount *p = data;
   const SsMember *m = value;
 
   (void) key;
@@ -36,9 +37,9 @@
 }
 
 bool
-ss_isolation_misses_most (const SsNode *node)
+ss_isolation_lost_majority (const SsNode *node)
 {
-  Peers p = { ss_members_find (&node->members, node->params.vm)->vm, 0, 0 };
+  PeerCount p = { ss_members_find (&node->members, node->params.vm)->vm, 0, 0 };
 
   g_tree_foreach (node->members.by_name, count_peer, &p);
   return p.listed > 0 && p.live * 2 < p.listed;
@@ -59,7 +60,7 @@
 {
   if (!node->dialect->platform_promotes)
     return;
-  if (!ss_isolation_misses_most (node))
+  if (!ss_isolation_lost_majority (node))
     {
       node->alone_since_ms = 0;
       set_isolated (node, false);
@@ -68,7 +69,7 @@
   if (!node->alone_since_ms)
     {
       node->alone_since_ms = node->now_ms;
-      /* Whether the platform still answers is worth a question now. */
+      /* Find out now whether the platform still answers. */
       ss_lease_list_vms (node);
     }
   if (!node->platform_down)
@@ -76,5 +77,5 @@
   else if (node->now_ms - node->alone_since_ms >= ISOLATED_AFTER_MS)
     set_isolated (node, true);
   if (node->isolated)
-    ss_entry_end_idle (node, SESSIONS_A_TICK);
+    ss_entry_end_idle (node, SESSIONS_PER_TICK);
 }
--- a/src/core/local.c
+++ b/src/core/local.c
@@ -1,3 +1,6 @@
+/* local: SET, RESET and SHOW of session settings, which the proxy answers
+ * itself, and the first words of other statements.
+ */
 #include <string.h>
 
 #include "core/internal.h"
@@ -42,53 +45,55 @@
 }
 
 static void
-parse_set (SsLocal *local, GScanner *s)
+parse_set (SsLocal *setting, GScanner *s)
 {
   ss_scan_word (s, "session");
-  local->name = take_setting_name (s);
-  if (!local->name)
+  setting->name = take_setting_name (s);
+  if (!setting->name)
     return;
-  local->kind = SS_LOCAL_SET;
+  setting->kind = SS_LOCAL_SET;
   if (g_scanner_peek_next_token (s) == (GTokenType) '=')
     g_scanner_get_next_token (s);
   else
     ss_scan_word (s, "to");
-  local->value = take_value (s);
+  setting->value = take_value (s);
 }
 
 void
-ss_local_init (SsLocal *local, const char *sql)
+ss_local_init (SsLocal *setting, const char *sql)
 {
   GScanner *s;
 
-  memset (local, 0, sizeof *local);
-  /* Most statements are none of these: look before the scanner is built. */
+  memset (setting, 0, sizeof *setting);
+  /* Most statements are none of these.  Check the first word before the costly
+   * set-up of a scanner.
+   */
   if (!ss_local_first_word (sql, "set") && !ss_local_first_word (sql, "reset")
       && !ss_local_first_word (sql, "show"))
     return;
   s = ss_scan_new (sql, "_.");
   if (ss_scan_word (s, "set"))
-    parse_set (local, s);
+    parse_set (setting, s);
   else if (ss_scan_word (s, "reset"))
     {
-      local->name = take_setting_name (s);
-      local->kind = local->name ? SS_LOCAL_SET : SS_LOCAL_NONE;
+      setting->name = take_setting_name (s);
+      setting->kind = setting->name ? SS_LOCAL_SET : SS_LOCAL_NONE;
     }
   else if (ss_scan_word (s, "show"))
     {
-      local->name = take_setting_name (s);
-      local->kind = local->name ? SS_LOCAL_SHOW : SS_LOCAL_NONE;
+      setting->name = take_setting_name (s);
+      setting->kind = setting->name ? SS_LOCAL_SHOW : SS_LOCAL_NONE;
     }
-  if (local->name && !at_end (s))
-    local->kind = SS_LOCAL_MALFORMED;
+  if (setting->name && !at_end (s))
+    setting->kind = SS_LOCAL_MALFORMED;
   g_scanner_destroy (s);
 }
 
 void
-ss_local_finish (SsLocal *local)
+ss_local_finish (SsLocal *setting)
 {
-  g_free (local->name);
-  g_free (local->value);
+  g_free (setting->name);
+  g_free (setting->value);
 }
 
 bool
--- a/src/core/marks.c
+++ b/src/core/marks.c
@@ -1,13 +1,18 @@
+/* marks: confirmed positions of each group's primary.
+ *
+ * A strict read, a read with bounded staleness and the first read of a session
+ * take their floor from such a position.
+ */
 #include <string.h>
 
 #include "core/internal.h"
 
 #define RING_SPACING_MS 250
 #define ASK_RETRY_MS 100
-/* What an owner tells unasked is taken for older by what it may have been on
- * its way.
+/* An unsolicited position counts as this much older, for the time that it may
+ * have been in transit.
  */
-#define TOLD_DELAY_MS 250
+#define UNSOLICITED_DELAY_MS 250
 
 SsMarks *
 ss_marks_get (SsNode *node, const char *group)
@@ -25,9 +30,9 @@
 }
 
 void
-ss_marks_free (gpointer marks)
+ss_marks_free (gpointer confirmed)
 {
-  SsMarks *m = marks;
+  SsMarks *m = confirmed;
 
   g_ptr_array_free (m->identities, TRUE);
   g_hash_table_destroy (m->floors);
@@ -36,60 +41,63 @@
 }
 
 SsPosition
-ss_marks_floor (const SsMarks *marks, const char *identity)
+ss_marks_floor (const SsMarks *confirmed, const char *identity)
 {
-  const SsPosition *floor = g_hash_table_lookup (marks->floors, identity);
+  const SsPosition *floor = g_hash_table_lookup (confirmed->floors, identity);
 
-  return floor ? *floor : marks->latest.position;
+  return floor ? *floor : confirmed->latest.position;
 }
 
 static void
-send_ask (SsNode *node, SsMarks *marks)
+send_ask (SsNode *node, SsMarks *confirmed)
 {
-  SsGroup *group = ss_config_group (&node->config, marks->group);
+  SsGroup *group = ss_config_group (&node->config, confirmed->group);
   SsTarget *primary = group ? ss_group_primary (group) : NULL;
   const char *owner = primary ? ss_node_owner (node, primary) : NULL;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__MarkAsk ask = SS__PEER__MARK_ASK__INIT;
 
-  marks->outstanding = true;
-  marks->wanted = false;
-  marks->last_ask++;
-  marks->last_ask_ms = node->now_ms;
+  confirmed->outstanding = true;
+  confirmed->requested_again = false;
+  confirmed->last_seq++;
+  confirmed->last_sent_ms = node->now_ms;
   if (!owner)
     return;
-  ask.group = marks->group;
-  ask.nonce = marks->last_ask;
-  g_ptr_array_set_size (marks->identities, 0);
-  ss_pending_identities (node, marks->group, marks->identities);
-  ask.identities = (char **) marks->identities->pdata;
-  ask.n_identities = marks->identities->len;
+  ask.group = confirmed->group;
+  ask.nonce = confirmed->last_seq;
+  g_ptr_array_set_size (confirmed->identities, 0);
+  ss_pending_identities (node, confirmed->group, confirmed->identities);
+  ask.identities = (char **) confirmed->identities->pdata;
+  ask.n_identities = confirmed->identities->len;
   e.body_case = SS__PEER__ENVELOPE__BODY_MARK_ASK;
   e.mark_ask = &ask;
   ss_node_send (node, owner, &e);
 }
 
-/* One ask is out at a time; who comes meanwhile shares the next one. */
+/* One request is outstanding at a time; callers that come meanwhile share the
+ * next one.
+ */
 void
-ss_marks_ask (SsNode *node, SsMarks *marks)
+ss_marks_ask (SsNode *node, SsMarks *confirmed)
 {
-  if (marks->outstanding)
-    marks->wanted = true;
+  if (confirmed->outstanding)
+    confirmed->requested_again = true;
   else
-    send_ask (node, marks);
+    send_ask (node, confirmed);
 }
 
 void
-ss_marks_retry (SsNode *node, SsMarks *marks)
+ss_marks_retry (SsNode *node, SsMarks *confirmed)
 {
-  if (marks->outstanding && node->now_ms - marks->last_ask_ms >= ASK_RETRY_MS)
-    send_ask (node, marks);
+  if (confirmed->outstanding
+      && node->now_ms - confirmed->last_sent_ms >= ASK_RETRY_MS)
+    send_ask (node, confirmed);
 }
 
 static void
-keep_in_ring (SsMarks *m)
+add_to_ring (SsMarks *m)
 {
-  /* Also where an older position came after a newer one. */
+  /* Also true where the latest reply is older than the last one in the ring. */
   if (m->count
       && m->latest.asked_ms - m->ring[m->count - 1].asked_ms < RING_SPACING_MS)
     return;
@@ -107,20 +115,20 @@
                uint32_t age_ms)
 {
   SsMarks *m = g_tree_lookup (node->marks, group);
-  int64_t asked_ms = node->now_ms - age_ms - TOLD_DELAY_MS;
+  int64_t asked_ms = node->now_ms - age_ms - UNSOLICITED_DELAY_MS;
 
   if (!m || asked_ms <= m->latest.asked_ms)
     return;
-  /* It answers no ask: only its age counts. */
+  /* It answers no request: only its age counts. */
   m->latest.asked_ms = asked_ms;
   m->latest.position = position;
-  m->latest.ask = MAX (m->latest.ask, 1);
-  keep_in_ring (m);
+  m->latest.seq = MAX (m->latest.seq, 1);
+  add_to_ring (m);
   ss_pending_wake (node, group, SS_WAIT_MARK);
 }
 
 static void
-keep_floors (SsMarks *m, const Ss__Peer__MarkReply *reply)
+store_floors (SsMarks *m, const Ss__Peer__MarkReply *reply)
 {
   g_hash_table_remove_all (m->floors);
   if (reply->n_floors != m->identities->len)
@@ -135,40 +143,40 @@
     }
 }
 
-/* The answer was made from what servers said after the ask went out, so it
- * covers everything acknowledged before that.
+/* The position comes from replies that servers gave after the request was sent,
+ * so it covers every write acknowledged before that.
  */
 void
 ss_marks_reply (SsNode *node, const Ss__Peer__MarkReply *reply)
 {
   SsMarks *m = g_tree_lookup (node->marks, reply->group);
 
-  if (!m || !m->outstanding || reply->nonce != m->last_ask)
+  if (!m || !m->outstanding || reply->nonce != m->last_seq)
     {
       ss_node_count (node, SS_COUNTER_LATE_ANSWERS);
       return;
     }
   m->outstanding = false;
-  m->latest.ask = m->last_ask;
-  m->latest.asked_ms = m->last_ask_ms - reply->age_ms;
+  m->latest.seq = m->last_seq;
+  m->latest.asked_ms = m->last_sent_ms - reply->age_ms;
   m->latest.position = ss_position_unpack (reply->mark);
-  keep_in_ring (m);
-  keep_floors (m, reply);
+  add_to_ring (m);
+  store_floors (m, reply);
   ss_pending_wake (node, reply->group, SS_WAIT_MARK);
-  if (m->wanted && !m->outstanding)
+  if (m->requested_again && !m->outstanding)
     send_ask (node, m);
 }
 
 bool
-ss_marks_within (const SsMarks *marks, int64_t since_ms, SsMark *mark)
+ss_marks_within (const SsMarks *confirmed, int64_t since_ms, SsMark *found)
 {
-  for (uint32_t i = 0; i < marks->count; i++)
+  for (uint32_t i = 0; i < confirmed->count; i++)
     {
-      if (marks->ring[i].asked_ms < since_ms)
+      if (confirmed->ring[i].asked_ms < since_ms)
         continue;
-      *mark = marks->ring[i];
+      *found = confirmed->ring[i];
       return true;
     }
-  *mark = marks->latest;
-  return marks->latest.ask != 0 && marks->latest.asked_ms >= since_ms;
+  *found = confirmed->latest;
+  return confirmed->latest.seq != 0 && confirmed->latest.asked_ms >= since_ms;
 }
--- a/src/core/opens.c
+++ b/src/core/opens.c
@@ -1,15 +1,15 @@
-/* opens: callers that come while this vm starts.
+/* opens: callers that connect while this VM starts.
  *
- * It answers this load: after a loss of power all callers come back at once,
- * while every vm is a fraction of a second from being ready.  A refusal costs
- * each of them a try, a short wait costs nothing.
+ * After a power failure all callers reconnect at once, while every VM still
+ * needs a fraction of a second to become ready.  A refusal would cost each
+ * caller one attempt, so they wait for a short time instead.
  */
 #include "core/entry.h"
 
-/* A start takes a fraction of this; callers give a connection up after two
- * seconds.
+/* Bound on the wait.  Start-up takes a fraction of it, and callers time out
+ * after 2 s.
  */
-#define OPEN_WAIT_MS 1200
+#define STARTUP_WAIT_MS 1200
 
 typedef struct
 {
@@ -17,16 +17,16 @@
   char *service;
   char *user;
   int64_t since_ms;
-} Open;
+} WaitingCaller;
 
 static void
-free_open (gpointer data)
+free_waiting (gpointer data)
 {
-  Open *o = data;
+  WaitingCaller *w = data;
 
-  g_free (o->service);
-  g_free (o->user);
-  g_free (o);
+  g_free (w->service);
+  g_free (w->user);
+  g_free (w);
 }
 
 void
@@ -38,20 +38,20 @@
 void
 ss_opens_finish (SsNode *node)
 {
-  g_queue_clear_full (&node->opens, free_open);
+  g_queue_clear_full (&node->opens, free_waiting);
 }
 
 void
 ss_opens_add (SsNode *node, uint64_t caller, const char *service,
               const char *user)
 {
-  Open *o = g_new0 (Open, 1);
+  WaitingCaller *w = g_new0 (WaitingCaller, 1);
 
-  o->caller = caller;
-  o->service = g_strdup (service);
-  o->user = g_strdup (user);
-  o->since_ms = node->now_ms;
-  g_queue_push_tail (&node->opens, o);
+  w->caller = caller;
+  w->service = g_strdup (service);
+  w->user = g_strdup (user);
+  w->since_ms = node->now_ms;
+  g_queue_push_tail (&node->opens, w);
 }
 
 void
@@ -59,35 +59,35 @@
 {
   for (GList *l = node->opens.head; l; l = l->next)
     {
-      Open *o = l->data;
+      WaitingCaller *w = l->data;
 
-      if (o->caller != caller)
+      if (w->caller != caller)
         continue;
       g_queue_delete_link (&node->opens, l);
-      free_open (o);
+      free_waiting (w);
       return;
     }
 }
 
-/* Opens those that wait once this vm is ready; refuses those that waited for
- * too long, and all when it stops.
+/* Opens a session for each waiting caller once this VM is ready.  Refuses those
+ * that waited for too long, and all of them when this VM stops.
  */
 void
 ss_opens_tick (SsNode *node)
 {
-  Open *o;
+  WaitingCaller *w;
 
-  while ((o = g_queue_peek_head (&node->opens)))
+  while ((w = g_queue_peek_head (&node->opens)))
     {
-      bool late = node->now_ms - o->since_ms >= OPEN_WAIT_MS;
+      bool timed_out = node->now_ms - w->since_ms >= STARTUP_WAIT_MS;
 
-      if (!node->ready && !node->stopping && !late)
+      if (!node->ready && !node->stopping && !timed_out)
         return;
       g_queue_pop_head (&node->opens);
       if (node->ready || node->stopping)
-        ss_entry_open (node, o->caller, o->service, o->user, NULL);
+        ss_entry_open (node, w->caller, w->service, w->user, NULL);
       else
-        ss_entry_refuse_open (node, o->caller, SS_REASON_NO_CONFIG, NULL);
-      free_open (o);
+        ss_entry_refuse_open (node, w->caller, SS_REASON_NO_CONFIG, NULL);
+      free_waiting (w);
     }
 }
--- a/src/core/pending.c
+++ b/src/core/pending.c
@@ -1,19 +1,23 @@
-/* pending: the requests under way here, and what ends their waits. */
+/* pending: requests that are under way here: ends their waits, and retries or
+ * abandons those that can't be answered any more.
+ */
 #include <string.h>
 
 #include "core/entry.h"
 
-/* The owner's verdict is the better one: it gets this long to arrive. */
+/* Time after the deadline for the owner's reply to arrive: its verdict is more
+ * exact than the one given here.
+ */
 #define OWNER_GRACE_MS 100
 
-typedef bool (*RequestTest) (SsNode *node, const SsRequest *r,
-                             const void *data);
+typedef bool (*RequestPredicate) (SsNode *node, const SsRequest *r,
+                                  const void *data);
 
-/* The requests for which WANTED holds; they may be ended while the array is
- * gone through.
+/* Returns the requests that MATCHES accepts, as a copy: they may be ended while
+ * the caller iterates over it.
  */
 static GPtrArray *
-requests_where (SsNode *node, RequestTest wanted, const void *data)
+find_requests (SsNode *node, RequestPredicate matches, const void *data)
 {
   GPtrArray *found = g_ptr_array_new ();
   GHashTableIter iter;
@@ -21,12 +25,12 @@
 
   g_hash_table_iter_init (&iter, node->requests);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (wanted (node, value, data))
+    if (matches (node, value, data))
       g_ptr_array_add (found, value);
   return found;
 }
 
-/* A write at a server that is not GROUP's primary any more. */
+/* Whether R is a write at a server that is no longer the primary of GROUP. */
 static bool
 is_superseded (SsNode *node, const SsRequest *r, const void *group)
 {
@@ -39,7 +43,7 @@
 void
 ss_pending_superseded (SsNode *node, const SsGroup *group)
 {
-  GPtrArray *out = requests_where (node, is_superseded, group);
+  GPtrArray *out = find_requests (node, is_superseded, group);
   GHashTableIter iter;
   gpointer value;
 
@@ -68,7 +72,7 @@
 void
 ss_pending_vm_lost (SsNode *node, const char *vm)
 {
-  GPtrArray *lost = requests_where (node, is_at_vm, vm);
+  GPtrArray *lost = find_requests (node, is_at_vm, vm);
   GHashTableIter iter;
   gpointer value;
 
@@ -78,7 +82,7 @@
 
       if (ss_request_may_retry (node, r, SS_VERDICT_MAY_HAVE_RUN,
                                 SS_REASON_VM_LOST, true))
-        ss_request_try_again (node, r, SS_REASON_VM_LOST);
+        ss_request_retry (node, r, SS_REASON_VM_LOST);
       else
         ss_request_abandon (node, r, SS_REASON_VM_LOST);
     }
@@ -97,12 +101,12 @@
 {
   const char *group;
   SsWait wait;
-} Waiting;
+} WaitFilter;
 
 static bool
 is_waiting (SsNode *node, const SsRequest *r, const void *data)
 {
-  const Waiting *w = data;
+  const WaitFilter *w = data;
   const SsGroup *group;
 
   if (r->wait != w->wait)
@@ -114,8 +118,8 @@
 void
 ss_pending_identities (SsNode *node, const char *group, GPtrArray *out)
 {
-  Waiting w = { group, SS_WAIT_MARK };
-  GPtrArray *waiting = requests_where (node, is_waiting, &w);
+  WaitFilter w = { group, SS_WAIT_MARK };
+  GPtrArray *waiting = find_requests (node, is_waiting, &w);
 
   for (guint i = 0; i < waiting->len; i++)
     {
@@ -131,8 +135,8 @@
 void
 ss_pending_wake (SsNode *node, const char *group, SsWait wait)
 {
-  Waiting w = { group, wait };
-  GPtrArray *waiting = requests_where (node, is_waiting, &w);
+  WaitFilter w = { group, wait };
+  GPtrArray *waiting = find_requests (node, is_waiting, &w);
 
   for (guint i = 0; i < waiting->len; i++)
     {
@@ -144,6 +148,7 @@
   g_ptr_array_free (waiting, TRUE);
 }
 
+/* Whether the deadline of R, or its wait, is over. */
 static bool
 is_overdue (SsNode *node, const SsRequest *r, const void *data)
 {
@@ -165,11 +170,11 @@
          && ss_choice_write (node, (SsGroup *) group) != NULL;
 }
 
-/* Routes what waits for a primary that can be used again. */
+/* Routes the requests that wait for a primary, where it is usable now. */
 static void
-look_for_primaries (SsNode *node)
+route_to_usable_primaries (SsNode *node)
 {
-  GPtrArray *ready = requests_where (node, waits_for_primary, NULL);
+  GPtrArray *ready = find_requests (node, waits_for_primary, NULL);
 
   for (guint i = 0; i < ready->len; i++)
     {
@@ -187,7 +192,7 @@
   static const SsReason reasons[]
       = { SS_REASON_DEADLINE, SS_REASON_NO_MARK, SS_REASON_NO_PRIMARY,
           SS_REASON_NO_PRIMARY };
-  GPtrArray *overdue = requests_where (node, is_overdue, NULL);
+  GPtrArray *overdue = find_requests (node, is_overdue, NULL);
 
   for (guint i = 0; i < overdue->len; i++)
     {
@@ -198,5 +203,5 @@
       ss_request_abandon (node, r, reasons[r->wait]);
     }
   g_ptr_array_free (overdue, TRUE);
-  look_for_primaries (node);
+  route_to_usable_primaries (node);
 }
--- a/src/core/predict.c
+++ b/src/core/predict.c
@@ -5,21 +5,21 @@
 #include "core/internal.h"
 
 void
-ss_prediction_learn (SsPrediction *prediction, int64_t change_ms)
+ss_prediction_learn (SsPrediction *prediction, int64_t failover_ms)
 {
-  if (change_ms > prediction->change_ms)
-    prediction->change_ms = change_ms;
+  if (failover_ms > prediction->failover_ms)
+    prediction->failover_ms = failover_ms;
   else
-    prediction->change_ms = (prediction->change_ms + change_ms) / 2;
+    prediction->failover_ms = (prediction->failover_ms + failover_ms) / 2;
 }
 
 int64_t
 ss_prediction_end_ms (const SsPrediction *prediction, int64_t since_ms)
 {
-  int64_t change_ms = prediction->change_ms ? prediction->change_ms
-                                            : SS_PREDICT_CHANGE_START_MS;
+  int64_t failover_ms = prediction->failover_ms ? prediction->failover_ms
+                                                : SS_PREDICT_CHANGE_START_MS;
 
-  return since_ms + change_ms * SS_PREDICT_MARGIN_PERCENT / 100;
+  return since_ms + failover_ms * SS_PREDICT_MARGIN_PERCENT / 100;
 }
 
 bool
--- a/src/core/predict.h
+++ b/src/core/predict.h
@@ -1,8 +1,8 @@
-/* predict: whether waiting for a primary is worth it.
+/* predict: estimates when a failover ends.
  *
- * It answers this load: writes come at their usual rate while their group
- * changes its primary.  A refusal costs each caller a try; a wait that ends in
- * time costs nothing but the wait, and one that doesn't costs both.
+ * Writes arrive at their usual rate during a failover.  A refusal costs the
+ * caller one attempt.  A wait that ends before the deadline costs only the
+ * wait; one that does not costs both.
  */
 #ifndef SS_PREDICT_H
 #define SS_PREDICT_H
@@ -10,23 +10,30 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A change of primary takes this long from its claim on, until one was seen:
- * raising the term, the promotion itself, and its news.
+/* Assumed duration of a failover until one was observed.  It starts with the
+ * claim on the promotion and includes raising the term, the promotion and the
+ * distribution of the new configuration.
  */
 #define SS_PREDICT_CHANGE_START_MS 900
-/* The next change may take this many hundredths of the longest seen. */
+/* Safety margin: percentage of the estimate that the next failover may take. */
 #define SS_PREDICT_MARGIN_PERCENT 130
-/* A primary that just went silent is found out and replaced, or is back. */
+/* Time until the failure of a silent primary is detected, or it answers again.
+ */
 #define SS_PREDICT_DETECTION_MS 600
 
 typedef struct
 {
-  int64_t change_ms; /* moving estimate; 0: none was seen */
+  int64_t failover_ms; /* moving estimate; 0: no failover was observed */
 } SsPrediction;
 
-/* ss_prediction_learn: a change took CHANGE_MS from its claim on. */
-void ss_prediction_learn (SsPrediction *prediction, int64_t change_ms);
-/* ss_prediction_end_ms: when a change that began at SINCE_MS will be over. */
+/* ss_prediction_learn: updates the estimate with a failover that took
+ * FAILOVER_MS from its claim.  A longer one counts at once; a shorter one
+ * lowers the estimate by half of the difference.
+ */
+void ss_prediction_learn (SsPrediction *prediction, int64_t failover_ms);
+/* ss_prediction_end_ms: returns the expected end of a failover that began at
+ * SINCE_MS.
+ */
 int64_t ss_prediction_end_ms (const SsPrediction *prediction, int64_t since_ms);
 
 #endif
--- a/src/core/replay.c
+++ b/src/core/replay.c
@@ -75,13 +75,13 @@
   return g_strdup_printf ("%s_%s", is_read ? "r" : "w", shape);
 }
 
-/* --- plans --- */
+/* --- replay plans --- */
 
 typedef struct
 {
   const char *const *values;
   bool has_extra;
-} Extra;
+} ExtraCheck;
 
 static const char *
 find_value (const char *const *values, const char *name)
@@ -95,20 +95,20 @@
 static gboolean
 check_extra (gpointer key, gpointer value, gpointer data)
 {
-  Extra *e = data;
+  ExtraCheck *e = data;
 
   (void) value;
   e->has_extra = find_value (e->values, key) == NULL;
   return e->has_extra;
 }
 
-/* Whether HELD has a value that the session did not set: only a reset takes
- * it away.
+/* Whether HELD has a value that the session did not set.  Only a reset removes
+ * it.
  */
 static bool
 holds_extra (const SsSessionState *held, const char *const *values)
 {
-  Extra e = { values, false };
+  ExtraCheck e = { values, false };
 
   if (held->values)
     g_tree_foreach (held->values, check_extra, &e);
@@ -118,9 +118,10 @@
 static bool
 holds_value (const SsSessionState *held, const char *name, const char *value)
 {
-  const char *now = held->values ? g_tree_lookup (held->values, name) : NULL;
+  const char *current
+      = held->values ? g_tree_lookup (held->values, name) : NULL;
 
-  return now && strcmp (now, value) == 0;
+  return current && strcmp (current, value) == 0;
 }
 
 static bool
--- a/src/core/replay.h
+++ b/src/core/replay.h
@@ -1,18 +1,20 @@
-/* replay: what a caller's session has set and prepared, on connections that
- * sessions share.
+/* replay: replays session state on connections that sessions share.
  *
- * An SsSessionState says what a session expects, or what a connection holds.
- * Before a statement runs, ss_replay_plan lists the statements that make the
- * connection hold what the session expects.  Prepared statements go by a name
- * that follows from their shape, so that sessions with the same shape share
- * one.
+ * An SsSessionState holds the settings and the prepared statements that a
+ * session expects, or that a connection has.  Before a statement runs,
+ * ss_replay_plan lists the statements that bring the connection to the state
+ * that the session expects.  The name of a prepared statement at the target is
+ * derived from its shape, so that sessions share prepared statements of the
+ * same shape.
  */
 #ifndef SS_REPLAY_H
 #define SS_REPLAY_H
 
 #include "core/dialect.h"
 
-/* A connection that holds more prepared statements is reset. */
+/* A connection with this many prepared statements is reset before it gets
+ * another one.
+ */
 #define SS_REPLAY_PREPARED_MAX 200
 
 typedef struct
@@ -33,26 +35,28 @@
                            const char *value);
 void ss_session_state_prepare (SsSessionState *state, const char *name,
                                const char *shape, bool is_read);
-/* ss_session_state_prepared: NULL where NAME is not prepared. */
+/* ss_session_state_prepared: returns NULL where NAME is not prepared. */
 const SsPrepared *ss_session_state_prepared (const SsSessionState *state,
                                              const char *name);
-/* ss_session_state_deallocate: false where NAME is not prepared. */
+/* ss_session_state_deallocate: returns false where NAME is not prepared. */
 bool ss_session_state_deallocate (SsSessionState *state, const char *name);
 
-/* ss_replay_name: the shared name of a shape, to be freed. */
+/* ss_replay_name: returns the name of the shape's prepared statement at
+ * targets, to be freed.
+ */
 char *ss_replay_name (const char *shape, bool is_read);
 
 /* ss_replay_plan: appends to OUT the statements (to be freed) that bring a
- * connection from HELD to VALUES (name, value, ..., NULL) with SHAPE (NULL:
- * none) prepared, and changes HELD to what it then holds.  IN_TRANSACTION: a
- * reset is not possible; returns false where one would be needed.
+ * connection from the state HELD to VALUES (name, value, ..., NULL) with SHAPE
+ * (NULL: none) prepared, and updates HELD accordingly.  IN_TRANSACTION: a reset
+ * is not possible; returns false where one would be needed.
  */
 bool ss_replay_plan (const SsDialect *dialect, SsSessionState *held,
                      const char *const *values, const char *shape,
                      bool shape_is_read, bool in_transaction, GQueue *out);
 
-/* ss_replay_distance: how many statements ss_replay_plan would list for
- * VALUES.
+/* ss_replay_distance: returns how many statements ss_replay_plan would list for
+ * VALUES without a shape.
  */
 uint32_t ss_replay_distance (const SsSessionState *held,
                              const char *const *values);
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -66,8 +66,9 @@
       = g_strdup (text);
 }
 
-/* The request's end with what decided it: for what it waited, where it was,
- * how old the view of that target was, which position it needed.
+/* Logs how the request ended, with the state that led to it: what it waited
+ * for, its target and owner, the age of that target's reported state, and the
+ * floor.
  */
 static void
 log_end (SsNode *node, const SsRequest *r, SsVerdict verdict, SsReason reason)
@@ -115,7 +116,7 @@
 }
 
 void
-ss_request_forget_sent (SsNode *node, SsRequest *r)
+ss_request_end_try (SsNode *node, SsRequest *r)
 {
   SsTarget *t = r->target ? ss_config_target (&node->config, r->target) : NULL;
 
@@ -137,7 +138,7 @@
 ss_request_drop (SsNode *node, SsRequest *r)
 {
   g_hash_table_remove (node->requests, &r->id);
-  ss_request_forget_sent (node, r);
+  ss_request_end_try (node, r);
   ss_request_end_wait (node, r);
   r->session->request = NULL;
   ss_request_free (r);
@@ -150,9 +151,9 @@
   g_clear_pointer (&s->pinned_target, g_free);
 }
 
-/* A request id holds for one statement, or for the transaction that it
- * begins: the next statement must not pass for its repeat, whether or not
- * this one was sent.
+/* Clears the idempotency key, which is valid for one statement or one
+ * transaction.  Otherwise the next statement would count as a repeat of this
+ * one, whether or not this one was sent.
  */
 void
 ss_session_drop_key (SsSession *s)
@@ -161,7 +162,6 @@
     g_clear_pointer (&s->request_key, g_free);
 }
 
-/* Answers the caller without a result. */
 void
 ss_request_finish (SsNode *node, SsRequest *r, SsVerdict verdict,
                    SsReason reason, uint32_t retry_after_ms)
@@ -188,8 +188,8 @@
   ss_node_send (node, vm, &e);
 }
 
-/* The transaction can't go on: further statements are refused until the
- * caller ends it, so that none of them runs outside of it.
+/* The transaction can't continue.  Further statements are refused until the
+ * caller ends it, so that none of them runs outside of the transaction.
  */
 void
 ss_session_lose_transaction (SsNode *node, SsSession *s)
@@ -198,20 +198,19 @@
     ss_session_send_end (node, s, s->pinned_vm, false);
   if (s->status != 'I')
     s->status = 'E';
-  s->loss_untold = s->status == 'E';
+  s->loss_unreported = s->status == 'E';
   s->begin_due = false;
   ss_session_unpin (s);
 }
 
 void
-ss_session_tell_loss (SsSession *s, const char *sql)
+ss_session_note_loss_reported (SsSession *s, const char *sql)
 {
-  s->loss_untold = false;
+  s->loss_unreported = false;
   if (ss_local_ends_transaction (sql))
     s->status = 'I';
 }
 
-/* Gives up on a request that may be at its owner. */
 void
 ss_request_abandon (SsNode *node, SsRequest *r, SsReason reason)
 {
@@ -222,7 +221,7 @@
   if (r->vm && !s->pinned_vm)
     ss_session_send_end (node, s, r->vm, false);
   ss_session_lose_transaction (node, s);
-  ss_session_tell_loss (s, r->sql);
+  ss_session_note_loss_reported (s, r->sql);
   ss_request_finish (node, r, verdict, reason, SS_RETRY_SOON_MS);
 }
 
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -2,11 +2,11 @@
 
 #include "core/entry.h"
 
-#define MARK_WAIT_MS 500
+#define CONFIRM_WAIT_MS 500
 #define VIEW_WAIT_MS 500
 
 void
-ss_route_draw_trace (SsNode *node, SsRequest *r)
+ss_route_assign_trace (SsNode *node, SsRequest *r)
 {
   if (r->session->trace)
     {
@@ -18,8 +18,9 @@
               g_rand_int (node->rand), g_rand_int (node->rand));
 }
 
+/* The idempotency key is sent with a write, or with a transaction's COMMIT. */
 static bool
-key_goes_with (const SsSession *s, const SsRequest *r)
+sends_request_key (const SsSession *s, const SsRequest *r)
 {
   if (!s->request_key || r->is_read)
     return false;
@@ -40,9 +41,9 @@
   return FALSE;
 }
 
-/* What the statement needs of its session at the target. */
+/* Adds the session state that the statement needs at the target. */
 static void
-add_session (Ss__Peer__Run *run, const SsSession *s, const SsRequest *r)
+add_session_state (Ss__Peer__Run *run, const SsSession *s, const SsRequest *r)
 {
   if (r->label)
     run->label = r->label;
@@ -88,57 +89,60 @@
   ss_position_pack (&floor, r->floor);
   run.floor = &floor;
   run.left_ms = (uint32_t) MAX (r->deadline_ms - node->now_ms, 0);
-  if (key_goes_with (s, r))
+  if (sends_request_key (s, r))
     run.request_key = s->request_key;
   run.trace = r->trace;
   run.identity = (char *) ss_session_identity (node, s);
-  add_session (&run, s, r);
+  add_session_state (&run, s, r);
   e.body_case = SS__PEER__ENVELOPE__BODY_RUN;
   e.run = &run;
   ss_node_send (node, vm, &e);
   g_free (run.values);
 }
 
-/* Finds the floor that the read has to reach; false where a confirmed
- * position is still to be waited for.
+/* Sets the floor of a read; returns false where it has to wait for a confirmed
+ * position first.
  */
 static bool
-find_floor (SsNode *node, SsRequest *r, SsMarks *marks)
+find_floor (SsNode *node, SsRequest *r, SsMarks *confirmed)
 {
   SsSession *s = r->session;
-  SsMark mark;
+  SsMark found;
 
   r->floor = s->floor;
   if (r->strict)
     {
-      if (marks->latest.ask <= r->start_ask)
+      if (confirmed->latest.seq <= r->start_seq)
         return false;
-      r->floor = ss_position_max (s->floor, marks->latest.position);
+      r->floor = ss_position_max (s->floor, confirmed->latest.position);
       return true;
     }
   if (r->staleness_ms == 0)
     {
       if (s->floor_known)
         return true;
-      if (marks->latest.ask <= s->arrival_ask)
+      if (confirmed->latest.seq <= s->open_seq)
         return false;
       ss_session_raise_floor (
-          s, ss_marks_floor (marks, ss_session_identity (node, s)));
+          s, ss_marks_floor (confirmed, ss_session_identity (node, s)));
       ss_session_send_token (node, s);
       r->floor = s->floor;
       return true;
     }
-  if (!ss_marks_within (marks, node->now_ms - r->staleness_ms, &mark))
+  if (!ss_marks_within (confirmed, node->now_ms - r->staleness_ms, &found))
     return false;
-  r->floor = ss_position_max (s->floor, mark.position);
-  /* Ask early, so that the next read finds a mark in time. */
-  if (node->now_ms - marks->latest.asked_ms > r->staleness_ms / 4)
-    ss_marks_ask (node, marks);
+  r->floor = ss_position_max (s->floor, found.position);
+  /* Request the next confirmed position early, so that the next read does not
+   * have to wait for one.
+   */
+  if (node->now_ms - confirmed->latest.asked_ms > r->staleness_ms / 4)
+    ss_marks_ask (node, confirmed);
   return true;
 }
 
-/* Before the first report of a server nothing can be chosen of it; one is on
- * its way once the subscription is sent.
+/* A server can't be selected before its first status report, which follows the
+ * subscription.  Has R wait for it; returns false where T has reported or the
+ * wait is over.
  */
 static bool
 waits_for_view (SsNode *node, SsRequest *r, const SsTarget *t)
@@ -152,7 +156,7 @@
 }
 
 static const SsTarget *
-find_unseen (const SsGroup *group)
+find_unreported (const SsGroup *group)
 {
   for (uint32_t i = 0; i < group->server_count; i++)
     if (!group->servers[i]->state_ms)
@@ -160,7 +164,6 @@
   return NULL;
 }
 
-/* Refuses what no server can take now. */
 static void
 refuse (SsNode *node, SsRequest *r, SsReason reason)
 {
@@ -168,8 +171,8 @@
                      SS_RETRY_PROMOTION_MS);
 }
 
-/* A change of primary that is under way and will end in time is worth waiting
- * for; what nothing will serve is refused at once.
+/* Has R wait for a failover that is expected to end before its deadline; else
+ * refuses it at once.
  */
 static void
 wait_for_primary (SsNode *node, SsRequest *r, SsGroup *group)
@@ -186,18 +189,18 @@
 static void
 route_read (SsNode *node, SsRequest *r, SsGroup *group)
 {
-  SsMarks *marks = ss_marks_get (node, group->name);
+  SsMarks *confirmed = ss_marks_get (node, group->name);
   SsTarget *t;
 
-  if (!find_floor (node, r, marks))
+  if (!find_floor (node, r, confirmed))
     {
       if (!*group->primary)
         {
           wait_for_primary (node, r, group);
           return;
         }
-      ss_request_begin_wait (node, r, SS_WAIT_MARK, MARK_WAIT_MS);
-      ss_marks_ask (node, marks);
+      ss_request_begin_wait (node, r, SS_WAIT_MARK, CONFIRM_WAIT_MS);
+      ss_marks_ask (node, confirmed);
       return;
     }
   t = ss_dialect_keeps_sessions (node->dialect)
@@ -205,7 +208,7 @@
           : ss_choice_read (node, group, r->floor, r->tried, r->tries);
   if (t)
     send_run (node, r, ss_node_owner (node, t), t->name, false);
-  else if (!waits_for_view (node, r, find_unseen (group)))
+  else if (!waits_for_view (node, r, find_unreported (group)))
     refuse (node, r, SS_REASON_NO_REPLICA);
 }
 
@@ -214,7 +217,9 @@
 {
   SsTarget *t = ss_choice_write (node, group);
 
-  /* What it reads first must be fresh. */
+  /* The first read of a transaction, and a strict read, must not come from a
+   * superseded primary.
+   */
   r->confirm = r->begins || r->is_read;
   if (t)
     send_run (node, r, ss_node_owner (node, t), t->name, false);
@@ -240,7 +245,7 @@
 }
 
 void
-ss_route_again (SsNode *node, SsRequest *r)
+ss_route_await_primary (SsNode *node, SsRequest *r)
 {
   SsGroup *group = ss_session_group (node, r->session);
 
@@ -250,9 +255,6 @@
     ss_request_finish (node, r, SS_VERDICT_NOT_RUN, SS_REASON_NO_SERVICE, 0);
 }
 
-/* Decides whether the statement is a read and what it has to see; false
- * where the session's kind is not one of the service's.
- */
 bool
 ss_route_classify (SsNode *node, SsRequest *r)
 {
--- a/src/core/session.c
+++ b/src/core/session.c
@@ -5,7 +5,7 @@
 #define KEY_MAX_BYTES 64
 
 static bool
-is_key (const char *text)
+is_request_key (const char *text)
 {
   size_t bytes = strlen (text);
 
@@ -16,7 +16,7 @@
 }
 
 void
-ss_session_replace (char **field, const char *value)
+ss_session_replace_text (char **field, const char *value)
 {
   g_free (*field);
   *field = value && *value ? g_strdup (value) : NULL;
@@ -44,7 +44,7 @@
       && (!service || ss_service_staleness (service, value) < 0))
     return "sapphirestair.kind must be write, session, strict or a kind of "
            "the service";
-  ss_session_replace (&s->kind, value);
+  ss_session_replace_text (&s->kind, value);
   return NULL;
 }
 
@@ -66,10 +66,10 @@
 set_request_id (SsNode *node, SsSession *s, const char *value)
 {
   (void) node;
-  if (value && *value && !is_key (value))
+  if (value && *value && !is_request_key (value))
     return "sapphirestair.request_id must be 1 to 64 letters, digits or "
            "one of . _ : -";
-  ss_session_replace (&s->request_key, value);
+  ss_session_replace_text (&s->request_key, value);
   return NULL;
 }
 
@@ -81,7 +81,7 @@
   (void) node;
   if (!value || !*value)
     {
-      ss_session_replace (&s->trace, NULL);
+      ss_session_replace_text (&s->trace, NULL);
       return NULL;
     }
   parts = g_strsplit (value, "-", 4);
@@ -91,7 +91,7 @@
       g_strfreev (parts);
       return "sapphirestair.traceparent must be VERSION-TRACE-SPAN-FLAGS";
     }
-  ss_session_replace (&s->trace, parts[1]);
+  ss_session_replace_text (&s->trace, parts[1]);
   g_strfreev (parts);
   return NULL;
 }
@@ -99,7 +99,7 @@
 typedef struct
 {
   const char *name;
-  /* Returns NULL or what is wrong with VALUE; NULL resets. */
+  /* Returns NULL or a static error message; VALUE is NULL for a reset. */
   const char *(*set) (SsNode *node, SsSession *s, const char *value);
 } SettingRow;
 
@@ -117,8 +117,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS (setting_rows); i++)
     if (strcmp (name, setting_rows[i].name) == 0)
       return setting_rows[i].set (node, s, value);
-  return "no such session setting; known are token, kind, deadline_ms, "
-         "request_id and traceparent";
+  return "unknown session setting; must be token, kind, deadline_ms, "
+         "request_id or traceparent";
 }
 
 static void
@@ -145,24 +145,24 @@
 }
 
 void
-ss_session_run_local (SsNode *node, SsSession *s, const SsLocal *local)
+ss_session_run_setting (SsNode *node, SsSession *s, const SsLocal *setting)
 {
   const char *error;
 
-  if (local->kind == SS_LOCAL_MALFORMED)
+  if (setting->kind == SS_LOCAL_MALFORMED)
     {
       ss_session_refuse (node, s, SS_REASON_BAD_SETTING,
                          "expected SET sapphirestair.NAME = 'VALUE'");
       return;
     }
-  if (local->kind == SS_LOCAL_SHOW)
+  if (setting->kind == SS_LOCAL_SHOW)
     {
-      show_setting (node, s, local->name);
+      show_setting (node, s, setting->name);
       return;
     }
-  error = ss_session_set (node, s, local->name, local->value);
+  error = ss_session_set (node, s, setting->name, setting->value);
   if (error)
     ss_session_refuse (node, s, SS_REASON_BAD_SETTING, error);
   else
-    ss_session_reply_tag (node, s, local->value ? "SET" : "RESET");
+    ss_session_reply_tag (node, s, setting->value ? "SET" : "RESET");
 }
--- a/src/core/statement.c
+++ b/src/core/statement.c
@@ -1,8 +1,8 @@
-/* statement: the statements of a dialect that tells them apart.
+/* statement: runs the statements of a dialect that parses them.
  *
- * What is about the session alone is answered here.  BEGIN is answered here,
- * too, and sent with the transaction's first statement: a caller that pauses
- * in between holds nothing at a target.
+ * Statements that concern only the session are answered here.  So is BEGIN,
+ * which is sent with the first statement of its transaction: a caller that
+ * pauses in between occupies no connection at a target.
  */
 #include "core/statement.h"
 
@@ -11,23 +11,25 @@
 #include "core/entry.h"
 
 static void
-answer_done (SsNode *node, SsSession *s)
+reply_done (SsNode *node, SsSession *s)
 {
   ss_session_reply_tag (node, s, "");
 }
 
-/* A statement that can't be; it breaks a transaction that is open. */
+/* Refuses a statement that is invalid here.  An open transaction is lost. */
 static void
-answer_wrong (SsNode *node, SsSession *s, SsReason reason)
+reply_invalid (SsNode *node, SsSession *s, SsReason reason)
 {
   if (s->status == 'T')
     ss_session_lose_transaction (node, s);
   ss_session_reply (node, s, SS_VERDICT_NOT_RUN, reason, 0);
 }
 
-/* The transaction failed: only its end is left. */
+/* Runs a statement in a failed transaction: only COMMIT and ROLLBACK are
+ * accepted, and both roll back.
+ */
 static void
-run_failed (SsNode *node, SsSession *s, const SsStatement *st)
+run_in_failed_transaction (SsNode *node, SsSession *s, const SsStatement *st)
 {
   if (st->kind != SS_STATEMENT_COMMIT && st->kind != SS_STATEMENT_ROLLBACK)
     {
@@ -40,7 +42,7 @@
   ss_session_unpin (s);
   s->status = 'I';
   if (st->kind == SS_STATEMENT_ROLLBACK)
-    answer_done (node, s);
+    reply_done (node, s);
   else
     ss_session_reply (node, s, SS_VERDICT_NOT_RUN, SS_REASON_TRANSACTION_LOST,
                       0);
@@ -53,7 +55,7 @@
 
   if (s->status != 'I')
     {
-      answer_wrong (node, s, SS_REASON_BAD_STATEMENT);
+      reply_invalid (node, s, SS_REASON_BAD_STATEMENT);
       return;
     }
   if (!group)
@@ -65,8 +67,8 @@
   s->begin_due = true;
   s->begin_is_read = st->is_read;
   s->begin_wrote = false;
-  s->begin_ask = ss_marks_get (node, group->name)->last_ask;
-  answer_done (node, s);
+  s->begin_seq = ss_marks_get (node, group->name)->last_seq;
+  reply_done (node, s);
 }
 
 static void
@@ -77,28 +79,30 @@
   ss_session_unpin (s);
   s->begin_due = false;
   s->status = 'I';
-  answer_done (node, s);
+  reply_done (node, s);
 }
 
 static void
 prepare (SsNode *node, SsSession *s, const SsStatement *st)
 {
   ss_session_state_prepare (&s->state, st->name, st->value, st->is_read);
-  answer_done (node, s);
+  reply_done (node, s);
 }
 
 static void
 deallocate (SsNode *node, SsSession *s, const SsStatement *st)
 {
   if (ss_session_state_deallocate (&s->state, st->name))
-    answer_done (node, s);
+    reply_done (node, s);
   else
-    answer_wrong (node, s, SS_REASON_UNPREPARED);
+    reply_invalid (node, s, SS_REASON_UNPREPARED);
 }
 
-/* What the session has to remember of the statement that R runs. */
+/* Sets what R is within the transaction of S, and records whether the
+ * transaction may have written.
+ */
 static void
-note_transaction (SsSession *s, SsRequest *r, bool writes, bool commits)
+set_transaction_state (SsSession *s, SsRequest *r, bool writes, bool commits)
 {
   if (s->status != 'T')
     {
@@ -108,22 +112,22 @@
     }
   r->is_read = s->begin_is_read;
   r->begins = s->begin_due;
-  r->start_ask = s->begin_ask;
+  r->start_seq = s->begin_seq;
   s->begin_wrote = s->begin_wrote || writes;
   r->keeps = commits && s->begin_wrote && !s->begin_is_read;
 }
 
-/* A statement that a target has to run. */
+/* Runs a statement at a target. */
 static void
-run (SsNode *node, SsSession *s, const char *label, const char *text,
-     const SsStatement *st)
+run_at_target (SsNode *node, SsSession *s, const char *label, const char *text,
+               const SsStatement *st)
 {
   const SsPrepared *p = NULL;
   SsRequest *r;
 
   if (st->kind == SS_STATEMENT_COMMIT && s->status != 'T')
     {
-      answer_wrong (node, s, SS_REASON_BAD_STATEMENT);
+      reply_invalid (node, s, SS_REASON_BAD_STATEMENT);
       return;
     }
   if (st->kind == SS_STATEMENT_EXECUTE)
@@ -131,11 +135,11 @@
       p = ss_session_state_prepared (&s->state, st->name);
       if (!p)
         {
-          answer_wrong (node, s, SS_REASON_UNPREPARED);
+          reply_invalid (node, s, SS_REASON_UNPREPARED);
           return;
         }
     }
-  r = ss_entry_start (node, s, text);
+  r = ss_entry_create_request (node, s, text);
   r->label = g_strdup (label);
   if (p)
     {
@@ -147,9 +151,10 @@
       r->sql = node->dialect->execute (node->dialect, name, st->value);
       g_free (name);
     }
-  note_transaction (s, r, st->kind == SS_STATEMENT_WRITE || (p && !p->is_read),
-                    st->kind == SS_STATEMENT_COMMIT);
-  ss_entry_go (node, r);
+  set_transaction_state (s, r,
+                         st->kind == SS_STATEMENT_WRITE || (p && !p->is_read),
+                         st->kind == SS_STATEMENT_COMMIT);
+  ss_entry_dispatch (node, r);
 }
 
 void
@@ -161,7 +166,7 @@
   node->dialect->parse (node->dialect, text, &st);
   if (s->status == 'E')
     {
-      run_failed (node, s, &st);
+      run_in_failed_transaction (node, s, &st);
       ss_statement_finish (&st);
       return;
     }
@@ -171,7 +176,7 @@
     case SS_STATEMENT_WRITE:
     case SS_STATEMENT_EXECUTE:
     case SS_STATEMENT_COMMIT:
-      run (node, s, label, text, &st);
+      run_at_target (node, s, label, text, &st);
       break;
     case SS_STATEMENT_BEGIN:
       begin (node, s, &st);
@@ -181,7 +186,7 @@
       break;
     case SS_STATEMENT_SET:
       ss_session_state_set (&s->state, st.name, st.value);
-      answer_done (node, s);
+      reply_done (node, s);
       break;
     case SS_STATEMENT_PREPARE:
       prepare (node, s, &st);
@@ -191,7 +196,7 @@
       break;
     case SS_STATEMENT_INVALID:
     default:
-      answer_wrong (node, s, SS_REASON_BAD_STATEMENT);
+      reply_invalid (node, s, SS_REASON_BAD_STATEMENT);
       break;
     }
   ss_statement_finish (&st);
--- a/src/core/statement.h
+++ b/src/core/statement.h
@@ -1,5 +1,4 @@
-/* statement: what the text of a statement means, where the dialect can tell.
- */
+/* statement: a parsed statement, of a dialect that parses statements. */
 #ifndef SS_STATEMENT_H
 #define SS_STATEMENT_H
 
@@ -27,9 +26,10 @@
 typedef struct
 {
   SsStatementKind kind;
-  bool is_read; /* of BEGIN and PREPARE: it only reads */
+  bool is_read; /* of BEGIN and PREPARE: declared as read-only */
   char *name;   /* of SET, PREPARE, EXECUTE, DEALLOCATE; else NULL */
-  char *value;  /* SET: the value; PREPARE: the shape; EXECUTE: arguments */
+  char *value;  /* SET: the value; PREPARE: the shape, which says what the
+                   prepared statement does; EXECUTE: the arguments */
 } SsStatement;
 
 void ss_statement_finish (SsStatement *statement);
