--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -52,8 +52,8 @@
                     const char *arguments);
   char *(*begin) (const SsDialect *dialect, bool is_read);
   char *(*rollback) (const SsDialect *dialect);
-  /* Returns TEXT with FLOOR added: the target runs it only once it has applied
-   * that position.
+  /* Returns TEXT with FLOOR added, the position that the target must have
+   * applied before it runs TEXT.
    */
   char *(*at_floor) (const SsDialect *dialect, SsPosition floor,
                      const char *text);
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -145,8 +145,8 @@
   s->user = g_strdup (user ? user : "");
   s->deadline_ms = node->params.deadline_ms;
   s->status = 'I';
-  /* A session that tracks its state has no token and is one connection: it has
-   * no earlier writes to see.
+  /* Where sessions are tracked there are no session tokens: a session is one
+   * connection of its caller and has no earlier writes to see.
    */
   s->floor_known = ss_dialect_keeps_sessions (node->dialect);
   group = ss_session_group (node, s);
@@ -185,7 +185,7 @@
   bool silent = rolls_back || (ends && !s->loss_unreported);
 
   ss_session_note_loss_reported (s, sql);
-  ss_session_drop_key (s);
+  ss_session_clear_request_key (s);
   if (silent)
     ss_session_reply_tag (node, s, "ROLLBACK");
   else
@@ -364,7 +364,7 @@
       ss_session_lose_transaction (node, s);
       ss_session_note_loss_reported (s, r->sql);
     }
-  ss_session_drop_key (s);
+  ss_session_clear_request_key (s);
   ss_request_log_end (node, r, verdict, (SsReason) reply->reason);
   ss_request_drop (node, r);
   if (commit.offset)
--- a/src/core/entry.h
+++ b/src/core/entry.h
@@ -65,14 +65,16 @@
 void ss_session_refuse (SsNode *node, const SsSession *s, SsReason reason,
                         const char *text);
 void ss_session_unpin (SsSession *s);
-void ss_session_drop_key (SsSession *s);
+void ss_session_clear_request_key (SsSession *s);
 /* ss_session_send_end: tells VM to release the session's connection.  With
  * ROLLS_BACK the transaction is rolled back and the session continues; else the
  * connection is closed.
  */
 void ss_session_send_end (SsNode *node, const SsSession *s, const char *vm,
                           bool rolls_back);
-/* ss_session_lose_transaction: marks the transaction of S as lost. */
+/* ss_session_lose_transaction: marks the transaction of S as lost and has its
+ * connection closed.
+ */
 void ss_session_lose_transaction (SsNode *node, SsSession *s);
 /* ss_session_note_loss_reported: notes that the reply to SQL tells the caller
  * of the lost transaction.  Leaves no transaction where SQL ends it.
--- a/src/core/marks.c
+++ b/src/core/marks.c
@@ -8,7 +8,7 @@
 #include "core/internal.h"
 
 #define RING_SPACING_MS 250
-#define ASK_RETRY_MS 100
+#define CONFIRM_RETRY_MS 100
 /* An unsolicited position counts as this much older, for the time that it may
  * have been in transit.
  */
@@ -49,7 +49,7 @@
 }
 
 static void
-send_ask (SsNode *node, SsMarks *confirmed)
+send_mark_ask (SsNode *node, SsMarks *confirmed)
 {
   SsGroup *group = ss_config_group (&node->config, confirmed->group);
   SsTarget *primary = group ? ss_group_primary (group) : NULL;
@@ -83,15 +83,15 @@
   if (confirmed->outstanding)
     confirmed->requested_again = true;
   else
-    send_ask (node, confirmed);
+    send_mark_ask (node, confirmed);
 }
 
 void
 ss_marks_retry (SsNode *node, SsMarks *confirmed)
 {
   if (confirmed->outstanding
-      && node->now_ms - confirmed->last_sent_ms >= ASK_RETRY_MS)
-    send_ask (node, confirmed);
+      && node->now_ms - confirmed->last_sent_ms >= CONFIRM_RETRY_MS)
+    send_mark_ask (node, confirmed);
 }
 
 static void
@@ -164,7 +164,7 @@
   store_floors (m, reply);
   ss_pending_wake (node, reply->group, SS_WAIT_MARK);
   if (m->requested_again && !m->outstanding)
-    send_ask (node, m);
+    send_mark_ask (node, m);
 }
 
 bool
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -156,7 +156,7 @@
  * one, whether or not this one was sent.
  */
 void
-ss_session_drop_key (SsSession *s)
+ss_session_clear_request_key (SsSession *s)
 {
   if (s->status == 'I')
     g_clear_pointer (&s->request_key, g_free);
@@ -170,7 +170,7 @@
 
   ss_request_log_end (node, r, verdict, reason);
   ss_request_drop (node, r);
-  ss_session_drop_key (s);
+  ss_session_clear_request_key (s);
   ss_session_reply (node, s, verdict, reason, retry_after_ms);
 }
 
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -3,7 +3,7 @@
 #include "core/entry.h"
 
 #define CONFIRM_WAIT_MS 500
-#define VIEW_WAIT_MS 500
+#define STATUS_WAIT_MS 500
 
 void
 ss_route_assign_trace (SsNode *node, SsRequest *r)
@@ -145,9 +145,9 @@
  * wait is over.
  */
 static bool
-waits_for_view (SsNode *node, SsRequest *r, const SsTarget *t)
+begin_status_wait (SsNode *node, SsRequest *r, const SsTarget *t)
 {
-  int64_t left_ms = r->started_ms + VIEW_WAIT_MS - node->now_ms;
+  int64_t left_ms = r->started_ms + STATUS_WAIT_MS - node->now_ms;
 
   if (!t || t->state_ms || left_ms <= 0)
     return false;
@@ -208,7 +208,7 @@
           : ss_choice_read (node, group, r->floor, r->tried, r->tries);
   if (t)
     send_run (node, r, ss_node_owner (node, t), t->name, false);
-  else if (!waits_for_view (node, r, find_unreported (group)))
+  else if (!begin_status_wait (node, r, find_unreported (group)))
     refuse (node, r, SS_REASON_NO_REPLICA);
 }
 
@@ -223,7 +223,7 @@
   r->confirm = r->begins || r->is_read;
   if (t)
     send_run (node, r, ss_node_owner (node, t), t->name, false);
-  else if (!waits_for_view (node, r, ss_group_primary (group)))
+  else if (!begin_status_wait (node, r, ss_group_primary (group)))
     wait_for_primary (node, r, group);
 }
 
