--- a/src/core/event.h
+++ b/src/core/event.h
@@ -1,6 +1,7 @@
-/* event: what goes into the decision core and what comes out of it.
+/* event: the inputs (events) and outputs (actions) of the decision core.
  *
- * Events borrow what they point to.  Actions own it; ss_action_clear frees.
+ * An event borrows the data that it points to.  An action owns its data, which
+ * ss_action_clear frees.
  */
 #ifndef SS_EVENT_H
 #define SS_EVENT_H
@@ -38,14 +39,14 @@
 #undef SS_EVENT_ENUM
 } SsEventKind;
 
-/* Why a target did not carry out a statement, where its protocol tells. */
+/* Why a target did not execute a statement, if its protocol reports it. */
 #define SS_TARGET_FAULTS(X)                                                    \
   X (NONE, "none")                                                             \
-  X (STATEMENT, "statement")     /* the statement itself; it may have run */   \
-  X (BUSY, "busy")               /* not run: no room */                        \
-  X (BEHIND, "behind")           /* not run: the floor is not applied yet */   \
+  X (STATEMENT, "statement")     /* statement error; may have run */           \
+  X (BUSY, "busy")               /* not run: target at its limit */            \
+  X (BEHIND, "behind")           /* not run: floor is not applied yet */       \
   X (NOT_PRIMARY, "not_primary") /* not run: the target is a replica */        \
-  X (UNPREPARED, "unprepared")   /* not run: no such prepared statement */
+  X (UNPREPARED, "unprepared")   /* not run: not prepared there */
 
 typedef enum
 {
@@ -54,17 +55,17 @@
 #undef SS_TARGET_FAULT_ENUM
 } SsTargetFault;
 
-/* One answer of a target to one query. */
+/* The answer of a target to one query. */
 typedef struct
 {
   bool ok;
   SsTargetFault fault;
-  char transaction_status; /* I, T or E */
+  char transaction_status; /* I, T or E, as in ReadyForQuery */
   const char *sqlstate;    /* of the error */
-  GBytes *wire;            /* results as the callers' protocol has them */
+  GBytes *wire;            /* results in the wire format of the callers */
   const char *tag;         /* last command tag */
   SsPosition commit;       /* offset 0: nothing was committed */
-  SsPosition applied;      /* the server's position as it answered */
+  SsPosition applied;      /* the server's position when it answered */
   const char *const *row;  /* first row's cells, or NULL */
   uint32_t row_cells;
 } SsTargetResult;
@@ -78,7 +79,7 @@
   bool deleted;
 } SsObject;
 
-/* What can be watched at the platform: all objects in one, or each kind. */
+/* The watches on the platform: one for all objects, or one for each kind. */
 #define SS_FEEDS(X)                                                            \
   X (ALL, "")                                                                  \
   X (ROUTES, "routes/")                                                        \
@@ -94,10 +95,10 @@
       SS_FEED_COUNT
 } SsFeed;
 
-/* ss_feed_prefix: of the keys of the feed's objects. */
+/* ss_feed_prefix: returns the key prefix of the objects that FEED covers. */
 const char *ss_feed_prefix (SsFeed feed);
 
-/* How a call on the platform ended. */
+/* The result of a call to the platform. */
 #define SS_PLATFORM_OUTCOMES(X)                                                \
   X (DONE, "done")                                                             \
   X (CONFLICT, "conflict")                                                     \
@@ -121,13 +122,13 @@
     {
       uint64_t caller;
       const char *service;
-      const char *user;            /* "": unknown */
+      const char *user;            /* "" if unknown */
       const char *const *settings; /* name, value, ..., NULL; may be NULL */
     } caller_open;
     struct
     {
       uint64_t caller;
-      const char *label; /* the caller's id of it; may be NULL */
+      const char *label; /* the caller's statement id, or NULL */
       const char *sql;
     } caller_statement;
     struct
@@ -146,9 +147,9 @@
     struct
     {
       uint64_t connection;
-      bool refused;         /* TARGET_CLOSED: the address refuses */
-      bool is_other;        /* TARGET_CLOSED: another server answered there */
-      const char *sqlstate; /* TARGET_CLOSED: of a refused start, or NULL */
+      bool refused;         /* TARGET_CLOSED: connection refused */
+      bool is_other;        /* TARGET_CLOSED: another server answered */
+      const char *sqlstate; /* TARGET_CLOSED: of a failed start-up, or NULL */
     } target;
     struct
     {
@@ -159,8 +160,8 @@
     {
       SsPlatformOutcome outcome;
       SsFeed feed;
-      bool complete; /* no other object of the feed is there */
-      bool listed;   /* the answer to PLATFORM_LIST, as of now */
+      bool complete; /* the watch has no other objects */
+      bool listed;   /* answers PLATFORM_LIST with the present state */
       int64_t since;
       int64_t revision;
       const SsObject *objects;
@@ -171,7 +172,7 @@
       uint64_t call;
       SsPlatformOutcome outcome;
       SsObject object; /* as read, or with the version written */
-    } platform_object; /* PLATFORM_PROMOTED: without an object */
+    } platform_object; /* PLATFORM_PROMOTED has no object */
     struct
     {
       const char *json;
@@ -179,9 +180,9 @@
     } platform_vms;
     struct
     {
-      uint64_t id; /* of the reply */
+      uint64_t id; /* for OPERATOR_REPLY */
       const char *text;
-      bool may_change; /* the operator may do more than look */
+      bool may_change; /* not restricted to read-only commands */
     } operator_command;
   };
 } SsEvent;
@@ -217,25 +218,25 @@
 {
   SsActionKind kind;
   uint64_t id;   /* caller, connection or call */
-  char *name;    /* vm, target, object key, parameter */
-  char *text;    /* SQL, address, value */
-  char *label;   /* TARGET_QUERY: the caller's id of it, or NULL;
+  char *name;    /* VM, target, object key or parameter */
+  char *text;    /* SQL, address or value */
+  char *label;   /* TARGET_QUERY: the caller's statement id, or NULL;
                     TARGET_CONNECT: the target's group */
   GBytes *bytes; /* wire or peer message */
   uint32_t port;
-  int64_t number; /* version, or revision */
+  int64_t number; /* version or revision */
   SsVerdict verdict;
   SsReason reason;
   uint32_t retry_after_ms;
-  uint32_t wait_ms;      /* PLATFORM_WATCH: to be answered by then */
-  uint32_t skip_results; /* TARGET_QUERY: results not to be kept */
+  uint32_t wait_ms;      /* PLATFORM_WATCH: long-poll limit */
+  uint32_t skip_results; /* TARGET_QUERY: leading results to discard */
   bool want_row;         /* TARGET_QUERY: parse the first row */
   char transaction_status;
-  bool is_control; /* PEER_SEND: not on behalf of a caller */
+  bool is_control; /* PEER_SEND: not caller traffic */
   SsLogEvent log_event;
 } SsAction;
 
-/* ss_action_clear: frees what ACTION owns. */
+/* ss_action_clear: frees the data that ACTION owns, not ACTION itself. */
 void ss_action_clear (SsAction *action);
 
 #endif
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -25,16 +25,19 @@
   node->counters.values[id]++;
 }
 
-/* ss_node_send: packs ENVELOPE and sends it to VM, which may be this one. */
+/* ss_node_send: serializes ENVELOPE and sends it to VM, which may be this one.
+ */
 void ss_node_send (SsNode *node, const char *vm, SsEnvelope *envelope);
 SsPosition ss_position_unpack (const Ss__Peer__Position *position);
 void ss_position_pack (Ss__Peer__Position *out, SsPosition position);
 void ss_state_unpack (const Ss__Peer__ServerState *in, SsServerState *out);
 
-/* ss_node_owner: the vm that owns TARGET, or NULL. */
+/* ss_node_owner: returns the VM that owns TARGET, or NULL. */
 const char *ss_node_owner (SsNode *node, SsTarget *target);
 bool ss_node_is_owner (SsNode *node, SsTarget *target);
-/* ss_node_take_state: STATE of TARGET, asked for AGE_MS ago. */
+/* ss_node_take_state: records STATE of TARGET, which was requested AGE_MS
+ * milliseconds ago, unless a later one is known.
+ */
 void ss_node_take_state (SsNode *node, SsTarget *target,
                          const SsServerState *state, uint32_t age_ms);
 
@@ -254,13 +257,13 @@
   SsJob *job;
   char *vm; /* of the session that it is pinned to */
   uint64_t session;
-  uint64_t transaction; /* while it is pinned: the request that opened it */
+  uint64_t transaction; /* if pinned: the request that opened it */
   int64_t since_ms;
-  SsSessionState held; /* what it has set and prepared */
-  GQueue due;          /* statements (to be freed) before the job's */
-  char *prelude;       /* the one of them that was sent last */
-  bool rolls_back;     /* its session ended a transaction */
-  int64_t again_ms;    /* when its job's statement is sent again; 0: not */
+  SsSessionState held; /* session state on this connection */
+  GQueue due;          /* statements to send before the job's, owned */
+  char *prelude;       /* copy of the last one sent from due */
+  bool rolls_back;     /* a ROLLBACK is in flight */
+  int64_t again_ms;    /* when to resend the job's statement; 0: never */
   int64_t sent_ms;     /* when its last statement was sent */
 } SsConnection;
 
@@ -272,12 +275,12 @@
   SS_STEP_COMMIT,
   SS_STEP_REPLAY,
   SS_STEP_ROLLBACK,
-  SS_STEP_PRELUDE /* what the session needs before its statement */
+  SS_STEP_PRELUDE /* session state replay and BEGIN */
 } SsStep;
 
 struct SsJob
 {
-  SsQueueItem item; /* first: the queue casts back */
+  SsQueueItem item; /* first member: cast from SsQueueItem */
   SsOwned *owned;
   SsConnection *connection; /* NULL: not running */
   uint64_t request;
@@ -285,23 +288,23 @@
   uint64_t session;
   char *service;
   char *sql;
-  char *key; /* NULL: none */
+  char *key; /* idempotency key, or NULL */
   char *trace;
   char *identity;
   char *label;
-  char **values; /* of the session: name, value, ..., NULL */
-  char *shape;   /* NULL: none */
+  char **values; /* session settings: name, value, ..., NULL */
+  char *shape;   /* of the prepared statement to run, or NULL */
   bool shape_is_read;
   bool begins;
   bool transaction_is_read;
   bool keeps;
-  bool pinned;  /* in a transaction that is open */
-  bool confirm; /* only at a primary that is one after this came */
+  bool pinned;  /* belongs to an open transaction */
+  bool confirm; /* run only if the primary is confirmed later */
   bool sent;    /* the target may have run the statement */
   bool is_read;
   SsPosition floor;
   SsStep step;
-  GBytes *wire; /* saved from an earlier step */
+  GBytes *wire; /* result to return, from this or an earlier step */
   char *tag;
   char sqlstate[6];
   char transaction_status;
@@ -312,15 +315,15 @@
   int64_t committed_ms;
 };
 
-/* A question for a target's state that waits for a poll. */
+/* A status request that waits for a poll of the target. */
 typedef struct
 {
   char *vm;
   uint64_t ask;
-  char **identities; /* of a round's asker; may be NULL */
+  char **identities; /* callers to return floors for; may be NULL */
   SsPosition held;
   uint64_t poll;   /* answered by this poll or a later one */
-  int64_t poll_ms; /* no poll for it before */
+  int64_t poll_ms; /* earliest time of a poll for it */
   int64_t expires_ms;
 } SsAsk;
 
@@ -333,16 +336,16 @@
   SS_CONTROL_FOLLOW
 } SsControlStep;
 
-/* A round that confirms the primary's position for those who asked. */
+/* A round of status requests that confirms the primary's position. */
 typedef struct
 {
-  GPtrArray *askers; /* of SsAsk; held unused */
-  GPtrArray *next;   /* came while the round ran */
+  GPtrArray *askers; /* of SsAsk, with held unset */
+  GPtrArray *next;   /* arrived while the round ran; get the next round */
   bool running;
   uint64_t ask;
   int64_t started_ms;
   int64_t due_ms;
-  uint32_t confirmed; /* bit by server: it showed no higher term */
+  uint32_t confirmed; /* bit set of servers that showed no higher term */
   bool has_position;
   SsPosition position;
   uint64_t term;
@@ -351,33 +354,33 @@
 struct SsOwned
 {
   SsTarget *target;
-  bool active; /* this vm owns it now */
+  bool active; /* this VM owns it now */
   SsQueue queue;
   GPtrArray *connections; /* not the control connection */
   int64_t connect_after_ms;
   int64_t owner_since_ms;
-  uint64_t group_term; /* of the group as last looked at */
+  uint64_t group_term; /* last seen term of the group */
 
   SsConnection *control;
   SsControlStep control_step;
   int64_t control_after_ms;
   int64_t control_started_ms;
-  uint64_t poll; /* number of the last poll begun */
+  uint64_t poll; /* sequence number of the last poll */
   int64_t poll_due_ms;
   int64_t polled_ms;   /* when the last poll began */
-  uint64_t raise_term; /* 0: none wanted */
+  uint64_t raise_term; /* 0: no raise is requested */
   GPtrArray *raise_vms;
   GPtrArray *asks;
-  GHashTable *subscribers; /* vm -> expiry in ms */
+  GHashTable *subscribers; /* VM -> expiry in ms */
   SsServerState reported;
   int64_t reported_ms;
 
   SsWriters writers;
   GQueue waiters;     /* jobs whose commit waits for a majority */
-  SsPosition unheld;  /* the highest commit that waits, or waited in vain */
-  bool stuck;         /* commits are not held: no new ones are taken */
-  GQueue unconfirmed; /* jobs that wait for the primary to be confirmed */
-  SsMark seen;        /* the latest position that an answer told */
+  SsPosition unheld;  /* highest commit not known to be replicated */
+  bool stuck;         /* replication stalled: no new commits are taken */
+  GQueue unconfirmed; /* jobs that wait for a confirmed primary */
+  SsMark seen;        /* latest position reported by an answer */
   uint64_t held_asks[SS_CONFIG_SERVERS_MAX]; /* outstanding, by server */
   int64_t held_asked_ms[SS_CONFIG_SERVERS_MAX];
   SsRound round;
@@ -386,8 +389,8 @@
 void ss_owner_init (SsNode *node);
 void ss_owner_finish (SsNode *node);
 SsOwned *ss_owner_find (SsNode *node, const char *target);
-/* ss_owner_update: opens and closes what the configuration and the live vms
- * ask for.
+/* ss_owner_update: starts or stops owning targets after a change of the
+ * configuration or of the live VMs.
  */
 void ss_owner_update (SsNode *node);
 void ss_owner_cancel (SsNode *node, const char *from, uint64_t request);
@@ -395,16 +398,16 @@
                            const Ss__Peer__SessionEnd *end);
 void ss_owner_vm_lost (SsNode *node, const char *vm);
 void ss_owner_ready (SsNode *node, uint64_t connection);
-/* ss_owner_closed: EVENT is TARGET_CLOSED. */
+/* ss_owner_closed: handles EVENT, a TARGET_CLOSED. */
 void ss_owner_closed (SsNode *node, const SsEvent *event);
 void ss_owner_tick (SsNode *node);
-/* ss_owner_unreachable: the target does not answer: what waits for it is
- * refused, and reads that run are given up.
+/* ss_owner_unreachable: handles a target that does not answer.  Refuses queued
+ * statements and gives up running reads.
  */
 void ss_owner_unreachable (SsNode *node, SsOwned *owned);
 bool ss_owner_is_idle (SsNode *node);
 
-/* --- job.c and outcome.c: a statement at its target --- */
+/* --- job.c and outcome.c: statements at their target --- */
 
 void ss_job_run (SsNode *node, const char *from, const Ss__Peer__Run *run);
 void ss_outcome_result (SsNode *node, uint64_t connection,
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -159,7 +159,7 @@
   job->connection = c;
   job->started_ms = node->now_ms;
   if (ss_dialect_keeps_sessions (node->dialect))
-    ss_kept_start (node, c);
+    ss_multiplex_start (node, c);
   else if (!job->key)
     ss_job_start_step (node, c, SS_STEP_PLAIN);
   else
@@ -186,8 +186,8 @@
 }
 
 bool
-ss_owned_shows_floor (const SsOwned *owned, SsPosition applied,
-                      SsPosition floor)
+ss_owned_covers_floor (const SsOwned *owned, SsPosition applied,
+                       SsPosition floor)
 {
   SsPosition translated
       = ss_position_translate (floor, &owned->target->state.history);
@@ -195,12 +195,13 @@
   return ss_position_covers (applied, translated);
 }
 
-/* A target that still follows an earlier term may hold more entries than the
- * floor counts, but others: by their number alone it would take itself for
- * fresh.  It gets no read with a floor of a term that it does not know.
+/* A target that still follows an earlier term may hold diverged entries: its
+ * offset can be above the floor's although it lacks the entries that the floor
+ * counts.  The target checks floors by offset alone, so it gets no read whose
+ * floor is of a term that it does not know.
  */
 static SsReason
-check_term_of_floor (SsNode *node, SsOwned *owned, SsPosition floor)
+check_floor_term (SsNode *node, SsOwned *owned, SsPosition floor)
 {
   const SsServerState *s = &owned->target->state;
 
@@ -210,7 +211,9 @@
   return SS_REASON_BEHIND;
 }
 
-/* Whether the target may take a new statement; SS_REASON_NONE if so. */
+/* Returns SS_REASON_NONE if the target may take a new statement, else the
+ * reason to refuse it.
+ */
 static SsReason
 check_target (SsNode *node, SsOwned *owned, const Ss__Peer__Run *run)
 {
@@ -225,10 +228,10 @@
     return SS_REASON_CONNECT;
   if (run->is_read && !run->confirm
       && ss_dialect_keeps_sessions (node->dialect))
-    return check_term_of_floor (node, owned, ss_position_unpack (run->floor));
+    return check_floor_term (node, owned, ss_position_unpack (run->floor));
   if (run->is_read && !run->confirm)
-    return ss_owned_shows_floor (owned, t->state.applied,
-                                 ss_position_unpack (run->floor))
+    return ss_owned_covers_floor (owned, t->state.applied,
+                                  ss_position_unpack (run->floor))
                ? SS_REASON_NONE
                : SS_REASON_BEHIND;
   if (!group || strcmp (group->primary, t->name) != 0
@@ -297,12 +300,13 @@
     start_job (node, c, new_job (node, owned, from, run));
 }
 
-/* A session that sends a statement outside of a transaction knows of none: one
- * that is open for it was lost on the way.
+/* A session that sends a statement outside of a transaction has none open.  A
+ * connection that is still pinned to it holds a transaction whose reply was
+ * lost, so that transaction is ended.
  */
 static void
-end_lost_transactions (SsNode *node, SsOwned *owned, const char *from,
-                       uint64_t session)
+end_orphaned_transactions (SsNode *node, SsOwned *owned, const char *from,
+                           uint64_t session)
 {
   for (guint i = owned->connections->len; i > 0; i--)
     {
@@ -310,7 +314,7 @@
 
       if (c->state == SS_CONNECTION_PINNED && c->session == session && c->vm
           && strcmp (c->vm, from) == 0)
-        ss_kept_end_idle (node, c);
+        ss_multiplex_end_transaction (node, c);
     }
 }
 
@@ -357,7 +361,7 @@
       run_pinned (node, owned, from, run);
       return;
     }
-  end_lost_transactions (node, owned, from, run->session);
+  end_orphaned_transactions (node, owned, from, run->session);
   reason = check_target (node, owned, run);
   if (reason != SS_REASON_NONE)
     {
--- a/src/core/kept.c
+++ b/src/core/kept.c
@@ -1,19 +1,22 @@
-/* kept: statements of sessions that are kept at their entry.
+/* multiplex: runs statements of sessions that share server connections.
  *
- * A connection serves one session after the other.  Before a statement it is
- * brought to hold what the statement's session set and prepared, and BEGIN is
- * sent where the statement opens its transaction.
+ * The entry VM keeps the state of a session, and a connection serves many
+ * sessions in turn.  Before a statement, session state replay sets the values
+ * and prepares the statement that its session expects.  BEGIN follows if the
+ * statement opens a transaction.
  */
 #include "core/owner.h"
 
-/* A replica that is behind by more than this does not catch up in time. */
+/* How long a read waits for its replica to reach the floor.  A replica that
+ * needs longer does not catch up in time.
+ */
 #define BEHIND_WAIT_MS 150
-/* A target without room for a statement gets it again after this pause, for
- * as long as its own queue may take.
+/* A target that is at its limit gets the statement again at this interval, for
+ * as long as a statement may wait in the target's own queue.
  */
-#define BUSY_AGAIN_MS 20
+#define BUSY_RETRY_MS 20
 #define BUSY_WAIT_MS 400
-#define BEHIND_AGAIN_MS 15
+#define BEHIND_RETRY_MS 15
 
 static void
 take_slot (SsConnection *c, SsQueueClass queue_class)
@@ -26,8 +29,8 @@
 }
 
 static void
-send_text (SsNode *node, SsConnection *c, SsStep step, const char *label,
-           char *text)
+send_query (SsNode *node, SsConnection *c, SsStep step, const char *label,
+            char *text)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_TARGET_QUERY);
 
@@ -39,7 +42,9 @@
   a->text = text;
 }
 
-/* The text with the floor that it has to find, where it can have one. */
+/* Adds the job's floor to TEXT if the job is a read with a floor.  Takes TEXT
+ * and returns the text to send.
+ */
 static char *
 with_floor (SsNode *node, const SsJob *job, char *text)
 {
@@ -52,7 +57,9 @@
   return whole;
 }
 
-/* Sends what the session needs on C, one by one, then its statement. */
+/* Sends the next statement of the session state replay, or the job's own
+ * statement once the replay is complete.
+ */
 static void
 send_next (SsNode *node, SsConnection *c)
 {
@@ -64,18 +71,18 @@
     {
       g_free (c->prelude);
       c->prelude = g_strdup (text);
-      send_text (node, c, SS_STEP_PRELUDE, NULL, text);
+      send_query (node, c, SS_STEP_PRELUDE, NULL, text);
       return;
     }
   job->sent = true;
   text = g_strdup (job->sql);
   if (!job->pinned && !job->begins)
     text = with_floor (node, job, text);
-  send_text (node, c, SS_STEP_PLAIN, job->label, text);
+  send_query (node, c, SS_STEP_PLAIN, job->label, text);
 }
 
 void
-ss_kept_start (SsNode *node, SsConnection *c)
+ss_multiplex_start (SsNode *node, SsConnection *c)
 {
   SsJob *job = c->job;
   char *begin;
@@ -97,7 +104,7 @@
 }
 
 void
-ss_kept_send_again (SsNode *node, SsConnection *c)
+ss_multiplex_resend (SsNode *node, SsConnection *c)
 {
   c->again_ms = 0;
   if (c->job->step == SS_STEP_PRELUDE)
@@ -105,8 +112,9 @@
   send_next (node, c);
 }
 
-/* Ends a statement that was not run.  Where a part of what its session needs
- * was not done either, nobody knows what the connection holds.
+/* Ends a job whose statement was not run.  If the session state replay failed
+ * part-way, the state of the connection is unknown and the connection is
+ * closed.
  */
 static void
 end_not_run (SsNode *node, SsConnection *c, SsReason reason)
@@ -120,12 +128,12 @@
     ss_job_end (node, c, SS_VERDICT_NOT_RUN, reason, SS_RETRY_SOON_MS);
 }
 
-/* The statement was not run; it is sent again while its target may soon run
- * it.
+/* The target did not run the statement.  Resends it after PAUSE_MS, until
+ * LIMIT_MS have passed since the job started.
  */
 static void
-wait_again (SsNode *node, SsConnection *c, SsReason reason, int64_t pause_ms,
-            int64_t limit_ms)
+retry_later (SsNode *node, SsConnection *c, SsReason reason, int64_t pause_ms,
+             int64_t limit_ms)
 {
   SsJob *job = c->job;
   bool in_transaction
@@ -143,20 +151,20 @@
   ss_job_dispatch (node, c->owned);
 }
 
-/* A statement of a kept session, or what goes before it, was not carried out.
+/* Handles the failure of the job's statement or of its session state replay.
  */
 static void
-end_fault (SsNode *node, SsConnection *c, SsTargetFault fault)
+handle_fault (SsNode *node, SsConnection *c, SsTargetFault fault)
 {
   SsOwned *owned = c->owned;
 
   switch (fault)
     {
     case SS_TARGET_FAULT_BUSY:
-      wait_again (node, c, SS_REASON_OVERLOAD, BUSY_AGAIN_MS, BUSY_WAIT_MS);
+      retry_later (node, c, SS_REASON_OVERLOAD, BUSY_RETRY_MS, BUSY_WAIT_MS);
       break;
     case SS_TARGET_FAULT_BEHIND:
-      wait_again (node, c, SS_REASON_BEHIND, BEHIND_AGAIN_MS, BEHIND_WAIT_MS);
+      retry_later (node, c, SS_REASON_BEHIND, BEHIND_RETRY_MS, BEHIND_WAIT_MS);
       break;
     case SS_TARGET_FAULT_NOT_PRIMARY:
       owned->target->state.role = SS_SERVER_REPLICA;
@@ -177,10 +185,11 @@
 }
 
 void
-ss_kept_end (SsNode *node, SsConnection *c, const SsTargetResult *result)
+ss_multiplex_result (SsNode *node, SsConnection *c,
+                     const SsTargetResult *result)
 {
   if (!result->ok)
-    end_fault (node, c, result->fault);
+    handle_fault (node, c, result->fault);
   else if (c->job->step == SS_STEP_PRELUDE)
     send_next (node, c);
   else
@@ -188,7 +197,7 @@
 }
 
 void
-ss_kept_roll_back (SsNode *node, SsConnection *c)
+ss_multiplex_roll_back (SsNode *node, SsConnection *c)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_TARGET_QUERY);
 
@@ -202,17 +211,17 @@
 }
 
 void
-ss_kept_end_idle (SsNode *node, SsConnection *c)
+ss_multiplex_end_transaction (SsNode *node, SsConnection *c)
 {
   if (ss_dialect_keeps_sessions (node->dialect))
-    ss_kept_roll_back (node, c);
+    ss_multiplex_roll_back (node, c);
   else
     ss_pool_close (node, c);
 }
 
 void
-ss_kept_rolled_back (SsNode *node, SsConnection *c,
-                     const SsTargetResult *result)
+ss_multiplex_rolled_back (SsNode *node, SsConnection *c,
+                          const SsTargetResult *result)
 {
   SsOwned *owned = c->owned;
 
@@ -225,10 +234,9 @@
   ss_job_dispatch (node, owned);
 }
 
-/* Every answer tells where the target stands. */
 void
-ss_kept_note_position (SsNode *node, const SsConnection *c,
-                       const SsTargetResult *result)
+ss_multiplex_note_position (SsNode *node, const SsConnection *c,
+                            const SsTargetResult *result)
 {
   SsTarget *t = c->owned->target;
 
@@ -238,10 +246,10 @@
     ss_monitor_answer (node, c->owned);
 }
 
-/* The position right after a commit covers it. */
 void
-ss_kept_note_commit (SsJob *job, const SsTargetResult *result)
+ss_multiplex_note_commit (SsJob *job, const SsTargetResult *result)
 {
+  /* The position that the target reports right after a commit covers it. */
   if (result->ok && job->keeps && job->step == SS_STEP_PLAIN)
     job->commit = result->applied;
 }
--- a/src/core/message.c
+++ b/src/core/message.c
@@ -34,17 +34,17 @@
   return a;
 }
 
-/* Lines a second of one event: enough to see a pattern, few enough to cost
- * nothing under load.  Answers with success tell least.
+/* Limits in lines per second of one event: enough to show a pattern, few enough
+ * to cost nothing under load.  Successful requests are the least informative.
  */
 #define LOG_LINES_PER_S 40
 #define LOG_SUCCESSES_PER_S 5
 
-/* Whether a line of EVENT may be written now; *LEFT_OUT lines were not since
- * the last one.
+/* Whether a line of EVENT may be written now.  Sets *LEFT_OUT to the number of
+ * lines suppressed since the last one.
  */
 static bool
-take_quota (SsNode *node, SsLogEvent event, uint32_t *left_out)
+consume_log_quota (SsNode *node, SsLogEvent event, uint32_t *left_out)
 {
   SsLogQuota *q = &node->log_quotas[event];
   uint32_t limit = event == SS_EVENT_LOG_REQUEST_RAN ? LOG_SUCCESSES_PER_S
@@ -75,7 +75,7 @@
   va_list args;
   char *text;
 
-  if (!take_quota (node, event, &left_out))
+  if (!consume_log_quota (node, event, &left_out))
     return;
   a = ss_node_push (node, SS_ACTION_LOG);
   a->log_event = event;
@@ -181,7 +181,9 @@
     {
       target->owner = ss_members_owner (&node->members, target->failure_domain,
                                         target->name);
-      /* A failure domain without a live vm: any other serves its targets. */
+      /* The failure domain has no live VM: a VM of any other one owns its
+       * targets.
+       */
       if (!target->owner && node->params.owners_anywhere)
         target->owner = ss_members_owner (&node->members, NULL, target->name);
       target->owner_generation = node->members.generation;
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -5,9 +5,9 @@
 #include "core/internal.h"
 #include "kernel/names.h"
 
-/* No event for this long: the process did not run. */
+/* If no event came for this long, the process was suspended. */
 #define PAUSE_MS 700
-/* What was written last still has to leave, and callers to read it. */
+/* Time for the last output to be sent and for callers to read it. */
 #define STOP_LINGER_MS 400
 
 static void
@@ -37,7 +37,7 @@
   node->ticked_ms = now_ms;
   node->rand = g_rand_new_with_seed (params->seed);
   node->dialect = params->dialect ? params->dialect : ss_dialect_sql ();
-  /* Ids of one life never meet those of another. */
+  /* Random start, so that ids of different incarnations do not collide. */
   node->next_request = (uint64_t) g_rand_int (node->rand) << 32;
   node->next_ask = (uint64_t) g_rand_int (node->rand) << 32;
   g_queue_init (&node->actions);
@@ -108,7 +108,7 @@
 /* --- messages --- */
 
 static void
-take_report (SsNode *node, const Ss__Peer__StatusReport *report)
+handle_status_report (SsNode *node, const Ss__Peer__StatusReport *report)
 {
   SsTarget *t = ss_config_target (&node->config, report->target);
   SsServerState state;
@@ -133,7 +133,7 @@
 }
 
 static void
-take_envelope (SsNode *node, const SsEnvelope *e)
+dispatch_envelope (SsNode *node, const SsEnvelope *e)
 {
   switch (e->body_case)
     {
@@ -156,7 +156,7 @@
       ss_monitor_ask (node, e->from, e->status_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_STATUS_REPORT:
-      take_report (node, e->status_report);
+      handle_status_report (node, e->status_report);
       break;
     case SS__PEER__ENVELOPE__BODY_SUBSCRIBE:
       ss_monitor_subscribe (node, e->from, e->subscribe);
@@ -215,7 +215,7 @@
 }
 
 static void
-take_message (SsNode *node, const uint8_t *data, size_t bytes)
+handle_message (SsNode *node, const uint8_t *data, size_t bytes)
 {
   SsEnvelope *e = ss__peer__envelope__unpack (NULL, bytes, data);
 
@@ -224,12 +224,12 @@
       ss_node_log (node, SS_EVENT_LOG_PEER_INVALID, "peer", "%zu bytes", bytes);
       return;
     }
-  take_envelope (node, e);
+  dispatch_envelope (node, e);
   ss__peer__envelope__free_unpacked (e, NULL);
 }
 
 static void
-take_local (SsNode *node)
+deliver_local (SsNode *node)
 {
   GBytes *bytes;
 
@@ -238,7 +238,7 @@
       gsize length;
       const uint8_t *data = g_bytes_get_data (bytes, &length);
 
-      take_message (node, data, length);
+      handle_message (node, data, length);
       g_bytes_unref (bytes);
     }
 }
@@ -289,8 +289,9 @@
   ss_node_push (node, SS_ACTION_STOPPED);
 }
 
-/* The process was paused: what it saw before says nothing about now, and the
- * others' heartbeats may still wait to be read.
+/* Shifts the time of a member's last heartbeat by the length of a pause of this
+ * process.  Silence during the pause is no sign of failure: heartbeats of other
+ * VMs may still be waiting to be read.
  */
 static gboolean
 shift_heard (gpointer key, gpointer value, gpointer data)
@@ -316,19 +317,19 @@
                "ms=%" G_GINT64_FORMAT, gap_ms);
 }
 
-static bool has_asks (const SsNode *node);
+static bool has_status_requests (const SsNode *node);
 
 static int64_t
 tick_interval_ms (const SsNode *node)
 {
-  if (has_asks (node))
+  if (has_status_requests (node))
     return node->params.pace.tick_asked_ms;
   return g_hash_table_size (node->requests) ? node->params.pace.tick_busy_ms
                                             : node->params.pace.tick_idle_ms;
 }
 
 static gboolean
-find_asks (gpointer key, gpointer value, gpointer data)
+find_status_requests (gpointer key, gpointer value, gpointer data)
 {
   const SsOwned *o = value;
 
@@ -340,11 +341,11 @@
 }
 
 static bool
-has_asks (const SsNode *node)
+has_status_requests (const SsNode *node)
 {
   bool found = false;
 
-  g_tree_foreach (node->owned, find_asks, &found);
+  g_tree_foreach (node->owned, find_status_requests, &found);
   return found;
 }
 
@@ -377,7 +378,7 @@
 /* --- events --- */
 
 static void
-lose_peer (SsNode *node, const char *vm)
+handle_peer_lost (SsNode *node, const char *vm)
 {
   ss_members_lost (&node->members, vm, node->now_ms);
   ss_pending_vm_lost (node, vm);
@@ -385,7 +386,7 @@
 }
 
 static void
-take_event (SsNode *node, const SsEvent *e)
+dispatch_event (SsNode *node, const SsEvent *e)
 {
   switch (e->kind)
     {
@@ -404,10 +405,10 @@
       ss_entry_close (node, e->caller.caller);
       break;
     case SS_EVENT_PEER_MESSAGE:
-      take_message (node, e->peer_message.data, e->peer_message.data_bytes);
+      handle_message (node, e->peer_message.data, e->peer_message.data_bytes);
       break;
     case SS_EVENT_PEER_LOST:
-      lose_peer (node, e->peer_lost.vm);
+      handle_peer_lost (node, e->peer_lost.vm);
       break;
     case SS_EVENT_TARGET_READY:
       ss_owner_ready (node, e->target.connection);
@@ -460,8 +461,8 @@
 {
   check_pause (node, now_ms);
   node->now_ms = now_ms;
-  take_event (node, event);
-  take_local (node);
+  dispatch_event (node, event);
+  deliver_local (node);
   tick (node);
-  take_local (node);
+  deliver_local (node);
 }
--- a/src/core/outcome.c
+++ b/src/core/outcome.c
@@ -1,4 +1,4 @@
-/* How a statement ended, and what its caller is told. */
+/* outcome: handles the results of statements and decides the reply. */
 #include <string.h>
 
 #include "core/owner.h"
@@ -7,7 +7,9 @@
 #define LOCK_NOT_AVAILABLE "55P03"
 #define READ_ONLY_SERVER "25006"
 
-/* Gives the connection to its session's transaction, or back to all. */
+/* Pins the connection to its session if the transaction is open, else returns
+ * the connection to the pool.
+ */
 static void
 release_connection (SsNode *node, SsConnection *c, const SsJob *job)
 {
@@ -30,7 +32,7 @@
         }
       if (!ss_dialect_keeps_sessions (node->dialect))
         return;
-      /* Between two statements it leaves its slot to others. */
+      /* Frees the slot for other sessions until the next statement. */
       ss_pool_release_slot (c, node->now_ms - job->started_ms);
       ss_job_dispatch (node, owned);
       return;
@@ -51,15 +53,16 @@
 
   job->connection = NULL;
   release_connection (node, c, job);
-  /* The caller takes its transaction for lost: so must the target. */
+  /* With this reply the caller treats its transaction as lost, so it must be
+   * rolled back at the target, too.
+   */
   if (job->transaction_status != 'I' && reason != SS_REASON_NONE
       && reason != SS_REASON_TARGET_ERROR
       && ss_dialect_keeps_sessions (node->dialect))
-    ss_kept_roll_back (node, c);
+    ss_multiplex_roll_back (node, c);
   ss_job_answer (node, job, verdict, reason, retry_after_ms);
 }
 
-/* The job's statement is done; a commit is answered once it is held. */
 void
 ss_job_end_committed (SsNode *node, SsConnection *c)
 {
@@ -84,7 +87,7 @@
   if (result->ok)
     {
       if (job->is_read
-          && !ss_owned_shows_floor (c->owned, job->applied, job->floor)
+          && !ss_owned_covers_floor (c->owned, job->applied, job->floor)
           && job->transaction_status == 'I')
         ss_job_end (node, c, SS_VERDICT_NOT_RUN, SS_REASON_BEHIND,
                     SS_RETRY_SOON_MS);
@@ -92,7 +95,7 @@
         ss_job_end_committed (node, c);
       return;
     }
-  /* A part of the message may have been committed before the error. */
+  /* Statements earlier in the same message may have committed. */
   if (job->commit.offset)
     ss_job_end_committed (node, c);
   else if (strcmp (job->sqlstate, READ_ONLY_SERVER) == 0 && !job->is_read
@@ -132,9 +135,11 @@
     ss_job_start_step (node, c, SS_STEP_ROLLBACK);
 }
 
-/* The key was there: its record says how the first try ended. */
+/* Answers with the recorded result of the first try: the idempotency key
+ * exists already.
+ */
 static void
-end_replay (SsNode *node, SsConnection *c, const SsTargetResult *result)
+end_lookup (SsNode *node, SsConnection *c, const SsTargetResult *result)
 {
   SsJob *job = c->job;
 
@@ -143,7 +148,9 @@
       g_clear_pointer (&job->wire, g_bytes_unref);
       g_free (job->tag);
       job->tag = g_strdup (result->row[0]);
-      /* The record counts once a majority holds it, as any commit. */
+      /* The record may not be replicated yet: wait for a majority up to the
+       * present position, as for any commit.
+       */
       job->commit = job->applied;
       ss_node_count (node, SS_COUNTER_REPLAYS);
       ss_job_end_committed (node, c);
@@ -156,14 +163,14 @@
 }
 
 static bool
-keeps_wire (SsStep step)
+stores_wire (SsStep step)
 {
   return step == SS_STEP_PLAIN || step == SS_STEP_CLAIM
          || step == SS_STEP_COMMIT;
 }
 
 static void
-take_result (SsJob *job, const SsTargetResult *result)
+record_result (SsJob *job, const SsTargetResult *result)
 {
   job->transaction_status = result->transaction_status;
   job->applied = result->applied;
@@ -173,7 +180,7 @@
       ss_writers_committed (&job->owned->writers, job->identity,
                             result->commit);
     }
-  if (!keeps_wire (job->step) && (result->ok || job->step != SS_STEP_RECORD))
+  if (!stores_wire (job->step) && (result->ok || job->step != SS_STEP_RECORD))
     return;
   if (!result->ok)
     g_strlcpy (job->sqlstate, result->sqlstate, sizeof job->sqlstate);
@@ -181,9 +188,11 @@
   job->wire = g_bytes_ref (result->wire);
 }
 
-/* An answer tells the server's position later than the last poll did. */
+/* Advances the known position of the server: an answer reports it more
+ * recently than the last poll.
+ */
 static void
-note_applied (SsTarget *t, SsPosition applied)
+advance_applied (SsTarget *t, SsPosition applied)
 {
   if (applied.term < t->state.held.term
       || ss_position_compare (applied, t->state.applied) <= 0)
@@ -209,20 +218,20 @@
       ss_monitor_result (node, c->owned, result);
       return;
     }
-  note_applied (c->owned->target, result->applied);
+  advance_applied (c->owned->target, result->applied);
   c->owned->target->reachable_ms = node->now_ms;
   if (ss_dialect_keeps_sessions (node->dialect))
-    ss_kept_note_position (node, c, result);
+    ss_multiplex_note_position (node, c, result);
   if (c->rolls_back)
     {
-      ss_kept_rolled_back (node, c, result);
+      ss_multiplex_rolled_back (node, c, result);
       return;
     }
-  take_result (c->job, result);
+  record_result (c->job, result);
   if (ss_dialect_keeps_sessions (node->dialect))
     {
-      ss_kept_note_commit (c->job, result);
-      ss_kept_end (node, c, result);
+      ss_multiplex_note_commit (c->job, result);
+      ss_multiplex_result (node, c, result);
       return;
     }
   switch (c->job->step)
@@ -238,7 +247,7 @@
       end_record (node, c, result);
       break;
     case SS_STEP_REPLAY:
-      end_replay (node, c, result);
+      end_lookup (node, c, result);
       break;
     case SS_STEP_ROLLBACK:
       ss_job_end (node, c, SS_VERDICT_NOT_RUN, SS_REASON_TARGET_ERROR, 0);
@@ -250,7 +259,6 @@
     }
 }
 
-/* What a job whose connection broke can be told. */
 SsVerdict
 ss_job_lost_verdict (const SsJob *job)
 {
@@ -261,7 +269,7 @@
     case SS_STEP_PRELUDE:
       return SS_VERDICT_NOT_RUN;
     case SS_STEP_CLAIM:
-      /* Its COMMIT was not sent, unless the statement holds one. */
+      /* COMMIT was not sent, unless the statement text contains it. */
       return strchr (job->sql, ';') ? SS_VERDICT_MAY_HAVE_RUN
                                     : SS_VERDICT_NOT_RUN;
     case SS_STEP_ROLLBACK:
@@ -271,8 +279,8 @@
     }
 }
 
-/* A running statement is not waited for any more.  Its answer may still come,
- * so the connection can't be used again; closing it ends a transaction.
+/* Stops waiting for a running statement.  Its answer may still arrive, so the
+ * connection can't be reused; closing it ends its transaction.
  */
 void
 ss_job_give_up (SsNode *node, SsConnection *c, SsReason reason)
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -6,12 +6,14 @@
 #define CONNECT_TIMEOUT_MS 1000
 #define CONNECT_BACKOFF_MS 50
 #define IDLE_CONNECTION_MS 30000
-/* A target that does not even end a transaction in this time has lost it. */
+/* A target that does not answer ROLLBACK within this time has lost the
+ * transaction.
+ */
 #define ROLLBACK_TIMEOUT_MS 2000
 #define TOO_MANY_CONNECTIONS "53300"
 
 static void
-free_ask (gpointer data)
+free_status_request (gpointer data)
 {
   SsAsk *ask = data;
 
@@ -119,23 +121,23 @@
 typedef struct
 {
   const char *vm;
-  uint64_t request; /* 0: any of the session */
-  uint64_t session; /* with request 0; 0: any of the vm */
-} Wanted;
+  uint64_t request; /* 0: any request of the session */
+  uint64_t session; /* used if request is 0; 0: any session of the VM */
+} JobFilter;
 
 static bool
-job_matches (const SsJob *job, const Wanted *w)
+job_matches (const SsJob *job, const JobFilter *filter)
 {
-  if (strcmp (job->vm, w->vm) != 0)
+  if (strcmp (job->vm, filter->vm) != 0)
     return false;
-  if (w->request)
-    return job->request == w->request;
-  return !w->session || job->session == w->session;
+  if (filter->request)
+    return job->request == filter->request;
+  return !filter->session || job->session == filter->session;
 }
 
-/* The jobs that wait; W NULL: all of them. */
+/* Returns the queued jobs that match FILTER, or all if FILTER is NULL. */
 static GPtrArray *
-queued_jobs (SsOwned *owned, const Wanted *w)
+queued_jobs (SsOwned *owned, const JobFilter *filter)
 {
   GPtrArray *found = g_ptr_array_new ();
 
@@ -144,7 +146,7 @@
       GSequenceIter *iter = g_sequence_get_begin_iter (owned->queue.waiting[i]);
 
       for (; !g_sequence_iter_is_end (iter); iter = g_sequence_iter_next (iter))
-        if (!w || job_matches (g_sequence_get (iter), w))
+        if (!filter || job_matches (g_sequence_get (iter), filter))
           g_ptr_array_add (found, g_sequence_get (iter));
     }
   return found;
@@ -185,9 +187,10 @@
 }
 
 static void
-refuse_queued (SsNode *node, SsOwned *owned, const Wanted *w, SsReason reason)
+refuse_queued (SsNode *node, SsOwned *owned, const JobFilter *filter,
+               SsReason reason)
 {
-  GPtrArray *jobs = queued_jobs (owned, w);
+  GPtrArray *jobs = queued_jobs (owned, filter);
 
   for (guint i = 0; i < jobs->len; i++)
     {
@@ -202,19 +205,19 @@
 void
 ss_owner_cancel (SsNode *node, const char *from, uint64_t request)
 {
-  Wanted w = { from, request, 0 };
+  JobFilter filter = { from, request, 0 };
   GPtrArray *owned = all_owned (node);
 
   for (guint i = 0; i < owned->len; i++)
     {
       SsOwned *o = g_ptr_array_index (owned, i);
 
-      refuse_queued (node, o, &w, SS_REASON_CANCELLED);
+      refuse_queued (node, o, &filter, SS_REASON_CANCELLED);
       for (guint j = 0; j < o->connections->len; j++)
         {
           SsConnection *c = g_ptr_array_index (o->connections, j);
 
-          if (!c->job || !job_matches (c->job, &w))
+          if (!c->job || !job_matches (c->job, &filter))
             continue;
           ss_job_give_up (node, c, SS_REASON_CANCELLED);
           break;
@@ -223,37 +226,39 @@
   g_ptr_array_free (owned, TRUE);
 }
 
-/* Closes the connections of what W names; the server then rolls back. */
+/* Ends the queued jobs, running jobs and open transactions that match FILTER.
+ * Closing a connection makes the server roll back.
+ */
 static void
-close_sessions (SsNode *node, SsOwned *owned, const Wanted *w)
+close_sessions (SsNode *node, SsOwned *owned, const JobFilter *filter)
 {
-  refuse_queued (node, owned, w, SS_REASON_CANCELLED);
+  refuse_queued (node, owned, filter, SS_REASON_CANCELLED);
   for (guint i = owned->connections->len; i > 0; i--)
     {
       SsConnection *c = g_ptr_array_index (owned->connections, i - 1);
-      bool is_pinned = c->vm && strcmp (c->vm, w->vm) == 0
-                       && (!w->session || c->session == w->session);
+      bool is_pinned = c->vm && strcmp (c->vm, filter->vm) == 0
+                       && (!filter->session || c->session == filter->session);
 
-      if (!is_pinned && !(c->job && job_matches (c->job, w)))
+      if (!is_pinned && !(c->job && job_matches (c->job, filter)))
         continue;
       if (c->state == SS_CONNECTION_PINNED
           && ss_dialect_keeps_sessions (node->dialect))
-        ss_kept_roll_back (node, c);
+        ss_multiplex_roll_back (node, c);
       else
         ss_pool_close (node, c);
     }
   ss_job_dispatch (node, owned);
 }
 
-/* SESSION 0: all of VM's. */
+/* Ends SESSION of VM, or all sessions of VM if SESSION is 0. */
 static void
 end_sessions (SsNode *node, const char *vm, uint64_t session)
 {
-  Wanted w = { vm, 0, session };
+  JobFilter filter = { vm, 0, session };
   GPtrArray *owned = all_owned (node);
 
   for (guint i = 0; i < owned->len; i++)
-    close_sessions (node, g_ptr_array_index (owned, i), &w);
+    close_sessions (node, g_ptr_array_index (owned, i), &filter);
   g_ptr_array_free (owned, TRUE);
 }
 
@@ -279,19 +284,21 @@
   ss_queue_init (&o->queue);
   ss_writers_init (&o->writers);
   o->connections = g_ptr_array_new ();
-  o->asks = g_ptr_array_new_with_free_func (free_ask);
+  o->asks = g_ptr_array_new_with_free_func (free_status_request);
   o->raise_vms = g_ptr_array_new_with_free_func (g_free);
-  o->round.askers = g_ptr_array_new_with_free_func (free_ask);
-  o->round.next = g_ptr_array_new_with_free_func (free_ask);
+  o->round.askers = g_ptr_array_new_with_free_func (free_status_request);
+  o->round.next = g_ptr_array_new_with_free_func (free_status_request);
   o->subscribers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_tree_insert (node->owned, g_strdup (target->name), o);
   return o;
 }
 
-/* Another vm owns the target now: what runs goes on, the rest is let go. */
+/* Another VM owns the target now.  Running statements and open transactions
+ * continue; queued statements and unused connections are dropped.
+ */
 static void
-let_go (SsNode *node, SsOwned *owned)
+release_target (SsNode *node, SsOwned *owned)
 {
   refuse_queued (node, owned, NULL, SS_REASON_NOT_OWNER);
   for (guint i = owned->connections->len; i > 0; i--)
@@ -326,8 +333,8 @@
     }
 }
 
-/* A later term is in force: what the target still runs as a primary can't be
- * acknowledged any more, so it gets its answer now.
+/* A later term is in force.  Writes that the target still runs as the former
+ * primary can't be acknowledged any more, so they are answered now.
  */
 static void
 end_superseded (SsNode *node, SsOwned *owned)
@@ -360,7 +367,7 @@
 }
 
 static gboolean
-update_one (gpointer key, gpointer value, gpointer data)
+update_target (gpointer key, gpointer value, gpointer data)
 {
   SsNode *node = data;
   SsTarget *t = value;
@@ -377,15 +384,17 @@
   o->active = is_owner;
   o->owner_since_ms = node->now_ms;
   if (!is_owner)
-    let_go (node, o);
+    release_target (node, o);
   return FALSE;
 }
 
 void
 ss_owner_update (SsNode *node)
 {
-  g_tree_foreach (node->config.targets, update_one, node);
-  /* The leases that this vm may hold may be others now. */
+  g_tree_foreach (node->config.targets, update_target, node);
+  /* A change of ownership changes the leases that this VM may hold, so its
+   * directory object is written at once.
+   */
   node->directory_due_ms = MIN (node->directory_due_ms, node->now_ms);
 }
 
@@ -429,14 +438,14 @@
       break;
     case SS_CONNECTION_PINNED:
       if (age_ms >= transaction_idle_ms (node))
-        ss_kept_end_idle (node, c);
+        ss_multiplex_end_transaction (node, c);
       break;
     case SS_CONNECTION_BUSY:
     default:
       if (c->job && node->now_ms >= c->job->item.deadline_ms)
         ss_job_give_up (node, c, SS_REASON_DEADLINE);
       else if (c->job && c->again_ms && node->now_ms >= c->again_ms)
-        ss_kept_send_again (node, c);
+        ss_multiplex_resend (node, c);
       else if (c->rolls_back && age_ms >= ROLLBACK_TIMEOUT_MS)
         ss_pool_close (node, c);
       break;
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -1,90 +1,113 @@
-/* owner: what the modules of the owner's side share: a target's connections
- * (pool.c), the statements that run on them (job.c), and upkeep (owner.c).
+/* owner: declarations shared by the modules that serve owned targets:
+ * connections (pool.c), statements (job.c, outcome.c, kept.c) and maintenance
+ * (owner.c).
  */
 #ifndef SS_OWNER_H
 #define SS_OWNER_H
 
 #include "core/internal.h"
 
-/* ss_owned_group: the group that the target is of, or NULL. */
+/* ss_owned_group: returns the group of the target, or NULL. */
 SsGroup *ss_owned_group (SsNode *node, const SsOwned *owned);
 
 /* --- pool.c --- */
 
-/* ss_pool_budget: how many connections may be open for statements now. */
+/* ss_pool_max_connections: returns the number of connections that may be open
+ * for statements now.
+ */
 uint32_t ss_pool_budget (SsNode *node, const SsOwned *owned);
 SsConnection *ss_pool_connect (SsNode *node, SsOwned *owned, bool is_control);
-/* ss_pool_close: closes CONNECTION and frees it and its job. */
+/* ss_pool_close: closes CONNECTION and frees it together with its job. */
 void ss_pool_close (SsNode *node, SsConnection *connection);
-/* ss_pool_forget: frees a connection that is closed already. */
+/* ss_pool_forget: frees a connection that is already closed. */
 void ss_pool_forget (SsNode *node, SsConnection *c);
 void ss_pool_free (SsConnection *c);
-/* ss_pool_release_slot: RAN_MS below 0 is not a measure. */
+/* ss_pool_release_slot: releases C's slot in the queue after a statement of
+ * RAN_MS milliseconds; a negative RAN_MS is not sampled.
+ */
 void ss_pool_release_slot (SsConnection *c, int64_t ran_ms);
-/* ss_pool_find_pinned: the connection of the transaction that VM opened by its
- * request TRANSACTION, or NULL.  A session is not enough: its entry may have
- * lost a transaction that is still open here, or be a new life of VM.
+/* ss_pool_find_pinned: returns the connection pinned to the transaction that VM
+ * opened with its request TRANSACTION, or NULL.  The session id is not enough:
+ * its entry may have lost a transaction that is still open here, or may belong
+ * to a new incarnation of VM.
  */
 SsConnection *ss_pool_find_pinned (SsOwned *owned, const char *vm,
                                    uint64_t transaction);
 SsConnection *ss_pool_find_idle (SsOwned *owned);
-/* ss_pool_find_nearest: the idle connection that needs least for JOB. */
+/* ss_pool_find_nearest: returns the idle connection that needs the fewest
+ * statements of session state replay for JOB, or NULL.
+ */
 SsConnection *ss_pool_find_nearest (SsOwned *owned, const SsJob *job);
-/* ss_pool_capacity: how many statements may run at once. */
+/* ss_pool_capacity: returns how many statements may run concurrently. */
 uint32_t ss_pool_capacity (SsNode *node, const SsOwned *owned);
-/* ss_pool_open_more: opens connections for what waits. */
+/* ss_pool_open_more: opens connections for queued statements. */
 void ss_pool_open_more (SsNode *node, SsOwned *owned);
 
 /* --- job.c --- */
 
-/* ss_owned_shows_floor: whether a server at APPLIED shows all up to FLOOR. */
-bool ss_owned_shows_floor (const SsOwned *owned, SsPosition applied,
-                           SsPosition floor);
+/* ss_owned_covers_floor: whether a server that has applied its log up to
+ * APPLIED has applied everything up to FLOOR.
+ */
+bool ss_owned_covers_floor (const SsOwned *owned, SsPosition applied,
+                            SsPosition floor);
 void ss_job_free (SsJob *job);
-/* ss_job_answer: sends JOB's reply and frees it. */
+/* ss_job_answer: sends the reply to JOB and frees JOB. */
 void ss_job_answer (SsNode *node, SsJob *job, SsVerdict verdict,
                     SsReason reason, uint32_t retry_after_ms);
-/* ss_job_dispatch: runs what waits on the connections that are free. */
+/* ss_job_dispatch: runs queued statements on idle connections. */
 void ss_job_dispatch (SsNode *node, SsOwned *owned);
-/* ss_job_start_step: sends STEP of C's job to the target. */
+/* ss_job_start_step: sends the statement for STEP of C's job to the target. */
 void ss_job_start_step (SsNode *node, SsConnection *c, SsStep step);
-/* ss_job_queue: has JOB wait for its turn, or refuses it. */
+/* ss_job_queue: queues JOB, or refuses it by admission control. */
 void ss_job_queue (SsNode *node, SsOwned *owned, SsJob *job);
 
 /* --- outcome.c --- */
 
-/* ss_job_give_up: answers the job that runs on C now and closes C. */
+/* ss_job_give_up: answers the job that runs on C at once and closes C. */
 void ss_job_give_up (SsNode *node, SsConnection *c, SsReason reason);
-/* ss_job_end: answers C's job and gives C to its transaction, or to all. */
+/* ss_job_end: answers C's job.  C stays pinned if its transaction is open, and
+ * returns to the pool otherwise.
+ */
 void ss_job_end (SsNode *node, SsConnection *c, SsVerdict verdict,
                  SsReason reason, uint32_t retry_after_ms);
-/* ss_job_end_committed: the same for a statement that was run: a commit is
- * answered once it is held.
+/* ss_job_end_committed: like ss_job_end, for a statement that was executed.  A
+ * commit is answered once it is replicated to a majority.
  */
 void ss_job_end_committed (SsNode *node, SsConnection *c);
-/* ss_job_lost_verdict: what a job whose connection broke can be told. */
+/* ss_job_lost_verdict: returns the verdict for a job whose connection was
+ * lost.
+ */
 SsVerdict ss_job_lost_verdict (const SsJob *job);
 
 /* --- kept.c --- */
 
-/* ss_kept_start: begins C's job. */
-void ss_kept_start (SsNode *node, SsConnection *c);
-/* ss_kept_end: C's target answered. */
-void ss_kept_end (SsNode *node, SsConnection *c, const SsTargetResult *result);
-/* ss_kept_send_again: sends the statement of C's job that was not run. */
-void ss_kept_send_again (SsNode *node, SsConnection *c);
-/* ss_kept_roll_back: ends the transaction on C, which goes back to all;
- * ss_kept_rolled_back: its target answered.
+/* ss_multiplex_start: starts C's job with the replay of its session state. */
+void ss_multiplex_start (SsNode *node, SsConnection *c);
+/* ss_multiplex_result: handles the target's RESULT for the last statement on C.
  */
-void ss_kept_roll_back (SsNode *node, SsConnection *c);
-void ss_kept_rolled_back (SsNode *node, SsConnection *c,
+void ss_multiplex_result (SsNode *node, SsConnection *c,
                           const SsTargetResult *result);
-/* ss_kept_end_idle: ends a transaction that was idle for too long. */
-void ss_kept_end_idle (SsNode *node, SsConnection *c);
-/* ss_kept_note_position: every answer tells where the target stands. */
-void ss_kept_note_position (SsNode *node, const SsConnection *c,
-                            const SsTargetResult *result);
-/* ss_kept_note_commit: the position right after a commit covers it. */
-void ss_kept_note_commit (SsJob *job, const SsTargetResult *result);
+/* ss_multiplex_resend: resends the statement of C's job that was not run. */
+void ss_multiplex_resend (SsNode *node, SsConnection *c);
+/* ss_multiplex_roll_back: rolls back the transaction on C, so that C returns to
+ * the pool.  ss_multiplex_rolled_back handles the target's answer.
+ */
+void ss_multiplex_roll_back (SsNode *node, SsConnection *c);
+void ss_multiplex_rolled_back (SsNode *node, SsConnection *c,
+                               const SsTargetResult *result);
+/* ss_multiplex_end_transaction: ends the open transaction of a connection on
+ * which no statement runs: rolls it back, or closes C if sessions are not
+ * multiplexed.
+ */
+void ss_multiplex_end_transaction (SsNode *node, SsConnection *c);
+/* ss_multiplex_note_position: records the log position of the target, which
+ * every answer reports.
+ */
+void ss_multiplex_note_position (SsNode *node, const SsConnection *c,
+                                 const SsTargetResult *result);
+/* ss_multiplex_note_commit: records the position of JOB's commit: the one
+ * reported right after the commit, which covers it.
+ */
+void ss_multiplex_note_commit (SsJob *job, const SsTargetResult *result);
 
 #endif
--- a/src/core/parse.c
+++ b/src/core/parse.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The longest age a kind of read may ask for: a week. */
+/* Upper limit of a read kind's staleness: one week. */
 #define STALENESS_MAX_MS (7LL * 24 * 3600 * 1000)
 #define WEIGHT_MAX 1000
 #define SLOTS_MAX 100000
@@ -152,7 +152,9 @@
     error = ss_parse_text (json, "failure_domain", NULL, &t->failure_domain);
   if (!error)
     error = ss_parse_number (json, "port", -1, 1, 65535, &port);
-  /* A target that tells its slots may leave its connections to its group. */
+  /* A target with slots may omit max_connections; the limit of its group then
+   * applies.
+   */
   if (!error && (json_object_get (json, "max_connections") || !has_slots))
     error = ss_parse_number (json, "max_connections", -1, 4, SS_CONNECTIONS_MAX,
                              &max_connections);
--- a/src/core/parse.h
+++ b/src/core/parse.h
@@ -1,8 +1,8 @@
-/* The stored objects' text, read into types and checked.
+/* parse: parses and validates the JSON text of configuration objects.
  *
- * Each function returns NULL, or a message for whoever wrote the object; the
- * caller frees it.  On an error the output holds what was read so far and is
- * still to be cleared by its owner.
+ * Each function returns NULL on success, or an error message for the author of
+ * the object, to be freed by the caller.  On an error the output holds what was
+ * parsed so far and still has to be cleared by its owner.
  */
 #ifndef SS_CORE_PARSE_H
 #define SS_CORE_PARSE_H
@@ -11,23 +11,25 @@
 
 #include "core/config.h"
 
-/* The most connections an object may grant to one server. */
+/* Upper limit of max_connections for one server. */
 #define SS_CONNECTIONS_MAX 10000
-/* The longest time limit that an object may set: 10 minutes. */
+/* Upper limit of time-outs in objects: 10 minutes. */
 #define SS_TIMEOUT_MAX_MS 600000
 
-/* ss_parse_text: member NAME, or FALLBACK where it is missing; with no
- * FALLBACK it must be there.  *OUT is the caller's to free.
+/* ss_parse_text: sets *OUT to a copy of the string member NAME, or of FALLBACK
+ * if NAME is missing.  NAME is required if FALLBACK is NULL.  The caller frees
+ * *OUT.
  */
 char *ss_parse_text (json_t *json, const char *name, const char *fallback,
                      char **out);
-/* ss_parse_number: member NAME from LOWEST to HIGHEST.  With a FALLBACK below
- * LOWEST it must be there.
+/* ss_parse_number: sets *OUT to the integer member NAME, which must be from
+ * LOWEST to HIGHEST, or to FALLBACK if NAME is missing.  NAME is required if
+ * FALLBACK is below LOWEST.
  */
 char *ss_parse_number (json_t *json, const char *name, int64_t fallback,
                        int64_t lowest, int64_t highest, int64_t *out);
-/* ss_parse_check_keys: refuses members not in ALLOWED, a list of words with a
- * space before and after each.
+/* ss_parse_check_keys: rejects members that are not in ALLOWED, a list of names
+ * with a space before and after each.
  */
 char *ss_parse_check_keys (json_t *json, const char *allowed);
 
--- a/src/core/pool.c
+++ b/src/core/pool.c
@@ -2,7 +2,9 @@
 
 #include "core/owner.h"
 
-/* Connections of the server that are left to control and to others. */
+/* Connections of the server reserved for the control connection and for other
+ * clients.
+ */
 #define CONTROL_RESERVE 2
 #define OWNER_SETTLE_MS 3000
 
@@ -18,11 +20,11 @@
   g_free (c);
 }
 
-/* While another vm may believe that it owns the target too, each keeps to
- * half of the server's connections.
+/* While another VM may also regard itself as the owner of the target, each
+ * uses at most half of the server's connections.
  */
 uint32_t
-ss_pool_budget (SsNode *node, const SsOwned *owned)
+ss_pool_max_connections (SsNode *node, const SsOwned *owned)
 {
   uint32_t connections
       = ss_config_max_connections (&node->config, owned->target);
@@ -33,17 +35,17 @@
   return connections > CONTROL_RESERVE ? connections - CONTROL_RESERVE : 1;
 }
 
-/* One statement more than the target runs at once waits there, so that it is
- * never idle between two of them.
+/* One statement more than the target runs concurrently is sent to it, so that
+ * it is never idle between two statements.
  */
 uint32_t
 ss_pool_capacity (SsNode *node, const SsOwned *owned)
 {
-  uint32_t budget = ss_pool_budget (node, owned);
+  uint32_t limit = ss_pool_max_connections (node, owned);
 
   if (!owned->target->slots)
-    return budget;
-  return MIN (owned->target->slots + 1, budget);
+    return limit;
+  return MIN (owned->target->slots + 1, limit);
 }
 
 SsConnection *
@@ -68,7 +70,6 @@
   return c;
 }
 
-/* Frees the connection's place; RAN_MS below 0: not a measure. */
 void
 ss_pool_release_slot (SsConnection *c, int64_t ran_ms)
 {
@@ -78,7 +79,6 @@
   ss_queue_done (&c->owned->queue, c->queue_class, ran_ms);
 }
 
-/* Forgets a connection that is closed already. */
 void
 ss_pool_forget (SsNode *node, SsConnection *c)
 {
@@ -162,13 +162,13 @@
 void
 ss_pool_open_more (SsNode *node, SsOwned *owned)
 {
-  uint32_t budget = ss_pool_budget (node, owned);
+  uint32_t limit = ss_pool_max_connections (node, owned);
   uint32_t wanted = ss_queue_length (&owned->queue);
   uint32_t connecting = count_connecting (owned);
 
   if (node->now_ms < owned->connect_after_ms)
     return;
-  while (connecting < wanted && owned->connections->len < budget)
+  while (connecting < wanted && owned->connections->len < limit)
     {
       g_ptr_array_add (owned->connections,
                        ss_pool_connect (node, owned, false));
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -7,9 +7,9 @@
   const SsQueueItem *y = b;
 
   (void) data;
-  if (x->tag < y->tag)
+  if (x->finish_tag < y->finish_tag)
     return -1;
-  if (x->tag > y->tag)
+  if (x->finish_tag > y->finish_tag)
     return 1;
   return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
@@ -22,10 +22,10 @@
       queue->waiting[i] = g_sequence_new (NULL);
       queue->running[i] = 0;
     }
-  queue->last_tags
+  queue->last_finish_tags
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   queue->virtual_time = 0;
-  queue->service_ms = SS_QUEUE_SERVICE_START_MS;
+  queue->service_ms = SS_QUEUE_INITIAL_RUN_MS;
   queue->sequence = 0;
   queue->bytes = 0;
 }
@@ -35,7 +35,7 @@
 {
   for (uint32_t i = 0; i < SS_QUEUE_CLASSES; i++)
     g_sequence_free (queue->waiting[i]);
-  g_hash_table_destroy (queue->last_tags);
+  g_hash_table_destroy (queue->last_finish_tags);
 }
 
 static uint32_t
@@ -85,7 +85,7 @@
 
 bool
 ss_queue_admit (const SsQueue *queue, const SsQueueItem *item,
-                uint32_t connections, int64_t now_ms, double spread,
+                uint32_t connections, int64_t now_ms, double jitter,
                 uint32_t *retry_after_ms)
 {
   uint32_t wait_ms = ss_queue_wait_ms (queue, item->queue_class, connections);
@@ -94,39 +94,39 @@
   if (wait_ms <= SS_QUEUE_WAIT_MAX_MS && wait_ms < left_ms
       && queue->bytes + item->bytes <= SS_QUEUE_BYTES_MAX)
     return true;
-  *retry_after_ms = wait_ms + (uint32_t) (spread * (wait_ms + 50));
+  *retry_after_ms = wait_ms + (uint32_t) (jitter * (wait_ms + 50));
   return false;
 }
 
-/* A service that was idle starts at the present virtual time, so it gains
- * nothing by having waited.
+/* A service that was idle starts at the current virtual time, so idle time
+ * earns it no credit.
  */
 void
 ss_queue_push (SsQueue *queue, SsQueueItem *item, const char *service,
                uint32_t weight)
 {
-  double *last = g_hash_table_lookup (queue->last_tags, service);
+  double *last = g_hash_table_lookup (queue->last_finish_tags, service);
 
   if (!last)
     {
       last = g_new0 (double, 1);
-      g_hash_table_insert (queue->last_tags, g_strdup (service), last);
+      g_hash_table_insert (queue->last_finish_tags, g_strdup (service), last);
     }
-  item->tag = MAX (*last, queue->virtual_time) + 1.0 / MAX (weight, 1);
-  *last = item->tag;
+  item->finish_tag = MAX (*last, queue->virtual_time) + 1.0 / MAX (weight, 1);
+  *last = item->finish_tag;
   item->sequence = queue->sequence++;
   queue->bytes += item->bytes;
-  item->place = g_sequence_insert_sorted (queue->waiting[item->queue_class],
-                                          item, compare_items, NULL);
+  item->queue_iter = g_sequence_insert_sorted (
+      queue->waiting[item->queue_class], item, compare_items, NULL);
 }
 
 void
 ss_queue_remove (SsQueue *queue, SsQueueItem *item)
 {
-  if (!item->place)
+  if (!item->queue_iter)
     return;
-  g_sequence_remove (item->place);
-  item->place = NULL;
+  g_sequence_remove (item->queue_iter);
+  item->queue_iter = NULL;
   queue->bytes -= item->bytes;
 }
 
@@ -167,7 +167,7 @@
     }
   if (!best)
     return NULL;
-  queue->virtual_time = MAX (queue->virtual_time, best->tag);
+  queue->virtual_time = MAX (queue->virtual_time, best->finish_tag);
   ss_queue_remove (queue, best);
   queue->running[best->queue_class]++;
   return best;
@@ -180,7 +180,7 @@
   if (ran_ms < 0)
     return;
   queue->service_ms
-      += SS_QUEUE_SERVICE_GAIN * ((double) ran_ms + 0.1 - queue->service_ms);
+      += SS_QUEUE_RUN_GAIN * ((double) ran_ms + 0.1 - queue->service_ms);
 }
 
 SsQueueItem *
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -1,8 +1,9 @@
-/* queue: admission and order of the statements that wait at one target.
+/* queue: admission control and scheduling of the statements for one target.
  *
- * Services share by weight (weighted fair queueing).  Reads leave a share of
- * the connections to writes.  A statement whose predicted wait would miss its
- * deadline, or go above the longest wait allowed, is refused at once.
+ * Services share the connections by weight (weighted fair queueing).  A share
+ * of the connections is reserved for writes.  Admission control refuses a
+ * statement at once if its predicted wait exceeds SS_QUEUE_WAIT_MAX_MS or would
+ * miss its deadline.
  */
 #ifndef SS_QUEUE_H
 #define SS_QUEUE_H
@@ -12,9 +13,9 @@
 #include <stdint.h>
 
 #define SS_QUEUE_WAIT_MAX_MS 500
-#define SS_QUEUE_SERVICE_START_MS 1.0
-#define SS_QUEUE_SERVICE_GAIN 0.05
-/* One connection in this many is left to writes. */
+#define SS_QUEUE_INITIAL_RUN_MS 1.0
+#define SS_QUEUE_RUN_GAIN 0.05
+/* One in this many connections is reserved for writes. */
 #define SS_QUEUE_WRITE_SHARE 4
 #define SS_QUEUE_BYTES_MAX (16 * 1024 * 1024)
 
@@ -25,23 +26,23 @@
   SS_QUEUE_CLASSES
 } SsQueueClass;
 
-/* The first member of what waits. */
+/* To be embedded as the first member of a queued job. */
 typedef struct
 {
   SsQueueClass queue_class;
-  double tag;
-  uint64_t sequence;
+  double finish_tag; /* virtual finish time */
+  uint64_t sequence; /* breaks ties in order of arrival */
   uint32_t bytes;
   int64_t deadline_ms;
-  GSequenceIter *place; /* NULL: does not wait */
+  GSequenceIter *queue_iter; /* NULL: not queued */
 } SsQueueItem;
 
 typedef struct
 {
   GSequence *waiting[SS_QUEUE_CLASSES];
-  GHashTable *last_tags; /* service -> its last tag */
+  GHashTable *last_finish_tags; /* service -> its last finish tag */
   double virtual_time;
-  double service_ms; /* moving mean of one statement */
+  double service_ms; /* moving average of a statement's run time */
   uint64_t sequence;
   uint32_t bytes;
   uint32_t running[SS_QUEUE_CLASSES];
@@ -50,27 +51,30 @@
 void ss_queue_init (SsQueue *queue);
 void ss_queue_finish (SsQueue *queue);
 
-/* ss_queue_wait_ms: predicted wait of one more with CONNECTIONS in all. */
+/* ss_queue_wait_ms: returns the predicted wait in milliseconds of one more
+ * statement, where CONNECTIONS is the number of all usable connections.
+ */
 uint32_t ss_queue_wait_ms (const SsQueue *queue, SsQueueClass queue_class,
                            uint32_t connections);
-/* ss_queue_admit: whether an item may wait; else *RETRY_AFTER_MS is set,
- * spread out by SPREAD from 0 to 1.
+/* ss_queue_admit: whether ITEM may be queued.  If not, sets *RETRY_AFTER_MS to
+ * the backoff in milliseconds, with jitter scaled by JITTER from 0 to 1.
  */
 bool ss_queue_admit (const SsQueue *queue, const SsQueueItem *item,
-                     uint32_t connections, int64_t now_ms, double spread,
+                     uint32_t connections, int64_t now_ms, double jitter,
                      uint32_t *retry_after_ms);
 void ss_queue_push (SsQueue *queue, SsQueueItem *item, const char *service,
                     uint32_t weight);
 void ss_queue_remove (SsQueue *queue, SsQueueItem *item);
-/* ss_queue_pop: the next item that may run on one of CONNECTIONS, or NULL;
- * it counts as running until ss_queue_done.
+/* ss_queue_pop: returns the next item that may run where CONNECTIONS can be
+ * used in all, or NULL.  It counts as running until ss_queue_done.
  */
 SsQueueItem *ss_queue_pop (SsQueue *queue, uint32_t connections);
-/* ss_queue_done: an item of QUEUE_CLASS ended after RAN_MS; below 0: not a
- * measure.
+/* ss_queue_done: an item of QUEUE_CLASS ended after RAN_MS milliseconds.  A
+ * negative RAN_MS is not sampled.
  */
 void ss_queue_done (SsQueue *queue, SsQueueClass queue_class, int64_t ran_ms);
-/* ss_queue_expired: a waiting item whose deadline has passed, or NULL. */
+/* ss_queue_expired: returns a queued item whose deadline has passed, or NULL.
+ */
 SsQueueItem *ss_queue_expired (const SsQueue *queue, int64_t now_ms);
 uint32_t ss_queue_length (const SsQueue *queue);
 
--- a/src/core/rank.h
+++ b/src/core/rank.h
@@ -1,10 +1,12 @@
-/* rank: rendezvous hashing, the one way in which roles are given out. */
+/* rank: rendezvous hashing, by which all roles are assigned to VMs. */
 #ifndef SS_RANK_H
 #define SS_RANK_H
 
 #include <stdint.h>
 
-/* ss_rank_score: the weight of VM for SUBJECT; the highest one wins. */
+/* ss_rank_score: returns the score of VM for SUBJECT.  The VM with the highest
+ * score gets the role.
+ */
 uint64_t ss_rank_score (const char *vm, const char *subject);
 
 #endif
--- a/src/core/scan.c
+++ b/src/core/scan.c
@@ -15,7 +15,7 @@
   s->config->scan_identifier_1char = TRUE;
   s->config->scan_octal = FALSE;
   s->config->store_int64 = TRUE;
-  /* No text begins a comment. */
+  /* Disables comments: \1 does not occur in the text. */
   s->config->cpair_comment_single = "\1\n";
   g_scanner_input_text (s, text, (guint) strlen (text));
   g_free (nth);
--- a/src/core/writers.c
+++ b/src/core/writers.c
@@ -16,7 +16,7 @@
 ss_writers_init (SsWriters *writers)
 {
   memset (writers, 0, sizeof *writers);
-  writers->last
+  writers->last_writes
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   writers->pending = g_tree_new_full (compare_offsets, NULL, g_free, g_free);
 }
@@ -24,18 +24,18 @@
 void
 ss_writers_finish (SsWriters *writers)
 {
-  g_hash_table_destroy (writers->last);
+  g_hash_table_destroy (writers->last_writes);
   g_tree_destroy (writers->pending);
 }
 
-/* Forgets all: entries up to FROM are by unknown writers. */
+/* Drops all records; the writers of entries up to KNOWN_AFTER are unknown. */
 static void
-restart (SsWriters *w, uint64_t term, uint64_t from)
+reset (SsWriters *w, uint64_t term, uint64_t known_after)
 {
   w->term = term;
-  w->from = from;
-  w->upto = from;
-  g_hash_table_remove_all (w->last);
+  w->known_after = known_after;
+  w->known_upto = known_after;
+  g_hash_table_remove_all (w->last_writes);
   g_tree_remove_all (w->pending);
 }
 
@@ -49,24 +49,25 @@
 }
 
 static void
-extend (SsWriters *w, const char *identity, uint64_t offset)
+append (SsWriters *w, const char *identity, uint64_t offset)
 {
-  w->upto = offset;
+  w->known_upto = offset;
   if (*identity)
-    g_hash_table_replace (w->last, g_strdup (identity), copy_offset (offset));
+    g_hash_table_replace (w->last_writes, g_strdup (identity),
+                          copy_offset (offset));
 }
 
 static void
-take_pending (SsWriters *w)
+append_pending (SsWriters *w)
 {
-  uint64_t next = w->upto + 1;
+  uint64_t next = w->known_upto + 1;
   const char *identity;
 
   while ((identity = g_tree_lookup (w->pending, &next)))
     {
-      extend (w, identity, next);
+      append (w, identity, next);
       g_tree_remove (w->pending, &next);
-      next = w->upto + 1;
+      next = w->known_upto + 1;
     }
 }
 
@@ -77,28 +78,29 @@
   if (position.term < writers->term)
     return;
   if (position.term > writers->term
-      || g_hash_table_size (writers->last) >= SS_WRITERS_MAX)
-    restart (writers, position.term, position.offset - 1);
-  if (position.offset <= writers->upto)
+      || g_hash_table_size (writers->last_writes) >= SS_WRITERS_MAX)
+    reset (writers, position.term, position.offset - 1);
+  if (position.offset <= writers->known_upto)
     return;
   g_tree_replace (writers->pending, copy_offset (position.offset),
                   g_strdup (identity));
-  take_pending (writers);
-  /* An entry that does not come was written by somebody else. */
+  append_pending (writers);
+  /* A gap that does not close was written by another client. */
   if (g_tree_nnodes (writers->pending) > SS_WRITERS_PENDING_MAX)
-    restart (writers, position.term, position.offset);
+    reset (writers, position.term, position.offset);
 }
 
 SsPosition
 ss_writers_floor (const SsWriters *writers, const char *identity,
                   SsPosition primary)
 {
-  const uint64_t *last = g_hash_table_lookup (writers->last, identity);
-  SsPosition floor = { primary.term, writers->from };
+  const uint64_t *last_write
+      = g_hash_table_lookup (writers->last_writes, identity);
+  SsPosition floor = { primary.term, writers->known_after };
 
-  if (writers->term != primary.term || writers->upto < primary.offset)
+  if (writers->term != primary.term || writers->known_upto < primary.offset)
     return primary;
-  if (last && *last > floor.offset)
-    floor.offset = *last;
+  if (last_write && *last_write > floor.offset)
+    floor.offset = *last_write;
   return floor;
 }
--- a/src/core/writers.h
+++ b/src/core/writers.h
@@ -1,10 +1,10 @@
-/* writers: who wrote which entries of a group's log, as the primary's owner
- * saw it.
+/* writers: tracks which caller wrote which entries of a group's log, at the
+ * owner of the primary.
  *
- * With it a session that arrives without a token needs only its own caller's
- * last write as its floor, not the primary's present position.  It is used
- * only where every entry since a known one was committed through this owner;
- * else the primary's position stands.
+ * A session that arrives without a token then needs only the last write of its
+ * own caller as its floor, not the primary's current position.  This holds only
+ * if every entry since a known one was committed through this owner; otherwise
+ * the primary's position is the floor.
  */
 #ifndef SS_WRITERS_H
 #define SS_WRITERS_H
@@ -19,21 +19,25 @@
 typedef struct
 {
   uint64_t term;
-  uint64_t from;    /* entries up to this one are by unknown writers */
-  uint64_t upto;    /* entries after from up to this one are known */
-  GHashTable *last; /* identity -> offset of its last entry */
-  GTree *pending;   /* offset -> identity; known ahead of upto */
+  uint64_t known_after; /* the writers of entries up to this are unknown */
+  uint64_t known_upto;  /* the writers of entries after known_after, up to this,
+                           are known */
+  GHashTable *last_writes; /* identity -> offset of its last entry */
+  GTree *pending;          /* offset -> identity; entries beyond a gap */
 } SsWriters;
 
 void ss_writers_init (SsWriters *writers);
 void ss_writers_finish (SsWriters *writers);
 
-/* ss_writers_committed: IDENTITY (may be empty) committed POSITION. */
+/* ss_writers_committed: records that IDENTITY (empty if unknown) committed the
+ * entry at POSITION.
+ */
 void ss_writers_committed (SsWriters *writers, const char *identity,
                            SsPosition position);
 
-/* ss_writers_floor: what IDENTITY has to see where the primary stands at
- * PRIMARY; PRIMARY itself where not every entry is known.
+/* ss_writers_floor: returns the minimum position for reads of IDENTITY while
+ * the primary is at PRIMARY.  Returns PRIMARY if some entry's writer is
+ * unknown.
  */
 SsPosition ss_writers_floor (const SsWriters *writers, const char *identity,
                              SsPosition primary);
