--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -15,7 +15,7 @@
 /* ss_pool_max_connections: returns the number of connections that may be open
  * for statements now.
  */
-uint32_t ss_pool_budget (SsNode *node, const SsOwned *owned);
+uint32_t ss_pool_max_connections (SsNode *node, const SsOwned *owned);
 SsConnection *ss_pool_connect (SsNode *node, SsOwned *owned, bool is_control);
 /* ss_pool_close: closes CONNECTION and frees it together with its job. */
 void ss_pool_close (SsNode *node, SsConnection *connection);
@@ -46,7 +46,8 @@
 /* --- job.c --- */
 
 /* ss_owned_covers_floor: whether a server that has applied its log up to
- * APPLIED has applied everything up to FLOOR.
+ * APPLIED has applied everything up to FLOOR, which is translated by the
+ * target's term history first.
  */
 bool ss_owned_covers_floor (const SsOwned *owned, SsPosition applied,
                             SsPosition floor);
