--- a/src/plugins/admin_http.c
+++ b/src/plugins/admin_http.c
@@ -1,4 +1,4 @@
-/* admin_http: the administration API, by HTTP (docs/API.md). */
+/* admin_http: serves the administration API over HTTP (docs/API.md). */
 #include <string.h>
 
 #include "kernel/httpd.h"
@@ -10,10 +10,10 @@
 
 static struct
 {
-  SsHttpd httpd; /* first: handlers cast back */
+  SsHttpd httpd; /* first: handlers cast to this struct */
   SsShell *shell;
   bool open;
-  char *token;         /* NULL: no changes are taken */
+  char *token;         /* NULL: commands that change state are refused */
   GHashTable *waiting; /* id -> SsHttpRequest */
   uint64_t next_id;
 } admin;
@@ -37,7 +37,7 @@
   return g_string_free (out, FALSE);
 }
 
-/* Takes as long for a wrong token as for the right one. */
+/* The time that this takes does not depend on how many characters match. */
 static bool
 is_same_token (const char *given, const char *wanted)
 {
@@ -60,14 +60,15 @@
 }
 
 static void
-take_command (SsHttpRequest *r)
+handle_command (SsHttpRequest *r)
 {
   SsEvent e = { .kind = SS_EVENT_OPERATOR };
   char *text;
 
   if (strcmp (r->method, "POST") != 0)
     {
-      ss_http_reply (r, 405, JSON_TYPE, "{\"error\":\"POST is needed\"}");
+      ss_http_reply (r, 405, JSON_TYPE,
+                     "{\"error\":\"the method must be POST\"}");
       return;
     }
   text = g_strndup ((const char *) r->body->data, r->body->len);
@@ -96,7 +97,7 @@
                    admin.shell->node.ready ? "{\"ready\":true}"
                                            : "{\"ready\":false}");
   else if (strcmp (r->path, "/v1/command") == 0)
-    take_command (r);
+    handle_command (r);
   else
     ss_http_reply (r, 404, JSON_TYPE, "{\"error\":\"no such path\"}");
 }
--- a/src/plugins/peer.c
+++ b/src/plugins/peer.c
@@ -1,8 +1,8 @@
-/* peer: messages between daemons, over TCP.
+/* peer: messages between daemons over TCP.
  *
- * Each vm sends on the connections that it opened and reads on those that it
- * accepted.  A frame is its length (four bytes, network order) and its bytes;
- * the first frame of a connection is the sender's name.
+ * Each VM sends on the connections that it opens and receives on those that it
+ * accepts.  A frame is a length of four bytes in network byte order, followed
+ * by that many bytes.  The first frame of a connection holds the sender's name.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -19,19 +19,19 @@
 
 typedef struct
 {
-  SsStream stream; /* first: callbacks cast back */
-  char *vm;        /* NULL until its first frame */
+  SsStream stream; /* first: callbacks cast to this struct */
+  char *vm;        /* name of the sender; NULL until the first frame */
 } Inbound;
 
 typedef struct
 {
-  SsStream stream; /* first: callbacks cast back */
+  SsStream stream; /* first: callbacks cast to this struct */
   char *vm;
   char *ip;
   uint16_t port;
   bool open;
   bool connected;
-  bool flush_due; /* it stands in peers.unflushed */
+  bool flush_due; /* is in peers.unflushed */
   int64_t dial_after_ms;
   int64_t dialled_ms;
 } Outbound;
@@ -41,7 +41,7 @@
   SsShell *shell;
   ev_io accept_io;
   ev_prepare flush;
-  GPtrArray *unflushed; /* of Outbound: written to in this round */
+  GPtrArray *unflushed; /* of Outbound: have output to send */
   GHashTable *outbound; /* vm -> Outbound */
   GHashTable *inbound;  /* set of Inbound */
 } peers;
@@ -53,7 +53,7 @@
 }
 
 static void
-tell_lost (const char *vm)
+report_lost (const char *vm)
 {
   SsEvent e = { .kind = SS_EVENT_PEER_LOST };
   char *copy = g_strdup (vm);
@@ -84,12 +84,12 @@
 
   g_hash_table_remove (peers.inbound, in);
   if (vm)
-    tell_lost (vm);
+    report_lost (vm);
   g_free (vm);
 }
 
 static void
-take_frame (Inbound *in, const uint8_t *data, uint32_t bytes)
+handle_frame (Inbound *in, const uint8_t *data, uint32_t bytes)
 {
   SsEvent e = { .kind = SS_EVENT_PEER_MESSAGE };
 
@@ -123,7 +123,7 @@
         }
       if (stream->input->len - at - sizeof wire < bytes)
         break;
-      take_frame (in, stream->input->data + at + sizeof wire, bytes);
+      handle_frame (in, stream->input->data + at + sizeof wire, bytes);
       at += (uint32_t) sizeof wire + bytes;
     }
   ss_stream_consume (stream, at);
@@ -178,7 +178,7 @@
   Outbound *out = (Outbound *) stream;
 
   close_outbound (out);
-  tell_lost (out->vm);
+  report_lost (out->vm);
 }
 
 static void
@@ -187,7 +187,7 @@
   ((Outbound *) stream)->connected = true;
 }
 
-/* The other end sends nothing on this connection. */
+/* Discards input: the peer never sends on this connection. */
 static void
 on_unexpected (SsStream *stream)
 {
@@ -230,9 +230,9 @@
     dial (out);
   if (!out->open || ss_stream_output (&out->stream)->len > OUTPUT_MAX_BYTES)
     {
-      /* What a caller waits for must not be dropped in silence. */
+      /* A caller may wait for the answer, so the loss is reported. */
       if (!a->is_control)
-        tell_lost (a->name);
+        report_lost (a->name);
       return;
     }
   put_frame (out, data, (uint32_t) bytes);
@@ -242,7 +242,7 @@
   g_ptr_array_add (peers.unflushed, out);
 }
 
-/* One write takes all messages of a round of the loop. */
+/* Sends all messages of one iteration of the event loop with one write. */
 static void
 on_flush (struct ev_loop *loop, ev_prepare *w, int events)
 {
--- a/src/plugins/pgserver.c
+++ b/src/plugins/pgserver.c
@@ -1,4 +1,4 @@
-/* pgserver: callers, by the PostgreSQL protocol. */
+/* pgserver: serves callers that use the PostgreSQL protocol. */
 #include <string.h>
 
 #include "kernel/callers.h"
@@ -10,9 +10,9 @@
 
 typedef struct
 {
-  SsCaller base; /* first: callbacks cast back */
-  uint32_t secret;
-  bool skips_to_sync;
+  SsCaller base;      /* first: callbacks cast to this struct */
+  uint32_t secret;    /* of cancel requests */
+  bool skips_to_sync; /* after an error: ignores queries until Sync */
 } Caller;
 
 static SsCallers callers;
@@ -40,7 +40,7 @@
 }
 
 static void
-send_greeting (Caller *c)
+send_startup_reply (Caller *c)
 {
   c->base.status = 'I';
   ss_pgwire_auth_ok (out (c));
@@ -54,11 +54,11 @@
   send_ready (c);
 }
 
-/* --- messages of callers --- */
+/* --- messages from callers --- */
 
 typedef struct
 {
-  const char *pairs[SETTINGS_MAX * 2 + 1];
+  const char *pairs[SETTINGS_MAX * 2 + 1]; /* name, value, ..., NULL */
   char *copies[SETTINGS_MAX * 2];
   uint32_t count;
 } Settings;
@@ -97,7 +97,7 @@
 }
 
 static void
-take_startup (Caller *c, const SsPgwireMessage *m)
+handle_startup (Caller *c, const SsPgwireMessage *m)
 {
   const char *database = ss_pgwire_startup_value (m, "database");
   const char *user = ss_pgwire_startup_value (m, "user");
@@ -121,7 +121,7 @@
 }
 
 static void
-take_cancel (const SsPgwireMessage *m)
+handle_cancel (const SsPgwireMessage *m)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_CANCEL };
   GHashTableIter iter;
@@ -142,7 +142,7 @@
 }
 
 static void
-take_query (Caller *c, const SsPgwireMessage *m)
+handle_query (Caller *c, const SsPgwireMessage *m)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_STATEMENT };
 
@@ -164,15 +164,15 @@
                    "Use simple queries (PQexec).");
 }
 
-/* Messages that may come between start-up and the end. */
+/* Handles messages of an established session. */
 static void
-take_regular (Caller *c, const SsPgwireMessage *m)
+handle_session_message (Caller *c, const SsPgwireMessage *m)
 {
   switch (m->kind)
     {
     case SS_PGWIRE_QUERY:
       if (!c->skips_to_sync)
-        take_query (c, m);
+        handle_query (c, m);
       break;
     case SS_PGWIRE_EXTENDED:
       refuse_extended (c);
@@ -195,7 +195,7 @@
 }
 
 static void
-take_any (Caller *c, const SsPgwireMessage *m)
+handle_message (Caller *c, const SsPgwireMessage *m)
 {
   switch (m->kind)
     {
@@ -203,10 +203,10 @@
       g_byte_array_append (out (c), (const uint8_t *) "N", 1);
       break;
     case SS_PGWIRE_STARTUP:
-      take_startup (c, m);
+      handle_startup (c, m);
       break;
     case SS_PGWIRE_CANCEL:
-      take_cancel (m);
+      handle_cancel (m);
       ss_caller_close (&c->base);
       break;
     case SS_PGWIRE_BAD_VERSION:
@@ -217,7 +217,7 @@
       refuse (c, "54000", ss_pgwire_message_name (m->kind));
       break;
     default:
-      take_regular (c, m);
+      handle_session_message (c, m);
       break;
     }
 }
@@ -232,7 +232,7 @@
 
   if (m.kind == SS_PGWIRE_NONE)
     return 0;
-  take_any ((Caller *) caller, &m);
+  handle_message ((Caller *) caller, &m);
   return used_bytes;
 }
 
@@ -248,7 +248,7 @@
   refuse ((Caller *) caller, "57P05", "idle for too long");
 }
 
-/* --- actions of the core --- */
+/* --- actions from the core --- */
 
 static const char *
 hint_for (SsVerdict verdict)
@@ -256,10 +256,11 @@
   switch (verdict)
     {
     case SS_VERDICT_NOT_RUN:
-      return "It was not run; it can be sent again.";
+      return "The statement was not run and can be sent again.";
     case SS_VERDICT_MAY_HAVE_RUN:
-      return "It may have run; repeat it only with its request id, or look "
-             "first.";
+      return "The statement may have run; repeat it only with the same "
+             "idempotency key (sapphirestair.request_id), or check first "
+             "whether it took effect.";
     default:
       return NULL;
     }
@@ -311,7 +312,7 @@
   if (c->base.state == SS_CALLER_OPENING)
     {
       if (a->verdict == SS_VERDICT_RAN)
-        send_greeting (c);
+        send_startup_reply (c);
       else
         put_failure (c, a, "FATAL");
       ss_stream_flush (&c->base.stream);
@@ -356,7 +357,7 @@
     }
 }
 
-/* --- life --- */
+/* --- plug-in --- */
 
 static const SsCallersClass callers_class
     = { .caller_bytes = sizeof (Caller),
--- a/src/plugins/pgwire.c
+++ b/src/plugins/pgwire.c
@@ -28,7 +28,7 @@
   return m;
 }
 
-/* Pairs of NUL-ended strings, closed by an empty one. */
+/* Whether TEXT is pairs of NUL-terminated strings, ended by an empty string. */
 static bool
 pairs_are_valid (const char *text, uint32_t bytes)
 {
--- a/src/plugins/pgwire.h
+++ b/src/plugins/pgwire.h
@@ -1,8 +1,8 @@
-/* pgwire: the server's side of the PostgreSQL protocol, version 3.
+/* pgwire: the server side of the PostgreSQL protocol, version 3.
  *
- * Pure framing on byte arrays: no sockets.  Shared by the daemon's caller
- * side and by the target stand-in.  Source: the protocol's published
- * description.
+ * Parses and formats messages in byte arrays; does not use sockets.  Shared by
+ * the daemon's plug-in for callers and the target stand-in.  Follows the
+ * published description of the protocol.
  */
 #ifndef SS_PGWIRE_H
 #define SS_PGWIRE_H
@@ -14,6 +14,7 @@
 #define SS_PGWIRE_STARTUP_MAX_BYTES 10000
 #define SS_PGWIRE_MESSAGE_MAX_BYTES (1024 * 1024)
 
+/* X (id, name in error messages) */
 #define SS_PGWIRE_MESSAGES(X)                                                  \
   X (NONE, "incomplete")                                                       \
   X (SSL_REQUEST, "SSL or GSS request")                                        \
@@ -39,37 +40,40 @@
 typedef struct
 {
   SsPgwireKind kind;
-  const char *text;        /* query text, or the start-up pairs */
-  uint32_t text_bytes;     /* with the closing NUL */
-  uint32_t cancel_process; /* of a cancel request */
+  const char *text;        /* QUERY: the query; STARTUP: name and value pairs */
+  uint32_t text_bytes;     /* with the terminating NUL */
+  uint32_t cancel_process; /* CANCEL: process id and secret key */
   uint32_t cancel_secret;
-  uint32_t used_bytes; /* how much of the input it took */
+  uint32_t used_bytes; /* length in the input; 0: nothing to consume */
 } SsPgwireMessage;
 
-/* ss_pgwire_read: takes one message off the front of DATA.
+/* ss_pgwire_read: parses the first message in DATA.
  *
- * IN_STARTUP tells whether the start-up packet is still due.  The message
- * borrows DATA.  BAD_VERSION, TOO_LARGE and MALFORMED are final.
+ * IN_STARTUP tells whether the start-up packet is still expected.  The message
+ * points into DATA.  NONE means that the message is incomplete.  After
+ * BAD_VERSION, TOO_LARGE or MALFORMED the connection cannot be used any more.
  */
 SsPgwireMessage ss_pgwire_read (const uint8_t *data, uint32_t data_bytes,
                                 bool in_startup);
 
-/* ss_pgwire_message_name: a static string. */
+/* ss_pgwire_message_name: returns a static string. */
 const char *ss_pgwire_message_name (SsPgwireKind kind);
 
-/* ss_pgwire_startup_value: looks NAME up in a start-up packet's pairs;
- * returns NULL where it is absent.
+/* ss_pgwire_startup_value: returns the value of NAME in a start-up packet, or
+ * NULL if it is absent.
  */
 const char *ss_pgwire_startup_value (const SsPgwireMessage *message,
                                      const char *name);
 
-/* ss_pgwire_options: calls FOUND for each "-c name=value" in OPTIONS. */
+/* ss_pgwire_options: calls FOUND for each "-c name=value", "-cname=value" or
+ * "--name=value" in OPTIONS.
+ */
 void ss_pgwire_options (const char *options,
                         void (*found) (void *data, const char *name,
                                        const char *value),
                         void *data);
 
-/* Writers: each appends one whole message to OUT. */
+/* The following append one message to OUT. */
 void ss_pgwire_auth_ok (GByteArray *out);
 void ss_pgwire_parameter (GByteArray *out, const char *name, const char *value);
 void ss_pgwire_key_data (GByteArray *out, uint32_t process, uint32_t secret);
@@ -88,12 +92,14 @@
   uint32_t type_id;
 } SsPgwireColumn;
 
-/* ss_pgwire_row_description, ss_pgwire_row: a NULL cell is SQL NULL. */
+/* ss_pgwire_row_description, ss_pgwire_row: a NULL cell means SQL NULL. */
 void ss_pgwire_row_description (GByteArray *out, const SsPgwireColumn *columns,
                                 uint16_t count);
 void ss_pgwire_row (GByteArray *out, const char *const *cells, uint16_t count);
 
-/* ss_pgwire_text_table: a row description of text columns. */
+/* ss_pgwire_text_columns: appends a row description of at most 16 columns of
+ * type text.
+ */
 void ss_pgwire_text_columns (GByteArray *out, const char *const *names,
                              uint16_t count);
 
--- a/src/plugins/platform_http.c
+++ b/src/plugins/platform_http.c
@@ -1,4 +1,4 @@
-/* platform_http: the platform's object API, by HTTP and JSON. */
+/* platform_http: HTTP client of the platform's object API. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  SsHttpCall http; /* first: callbacks cast back */
+  SsHttpCall http; /* first: callbacks cast to this struct */
   SsActionKind kind;
   uint64_t id;
   int64_t since;
@@ -34,7 +34,9 @@
 
 /* --- answers --- */
 
-/* Fills OUT from {"key", "version", "value"}; *TEXT holds the value. */
+/* Reads OUT from {"key", "version", "value"}; *TEXT owns the value and is to be
+ * freed with free.  Returns false if the key or the value is missing.
+ */
 static bool
 read_object (json_t *json, SsObject *out, char **text)
 {
@@ -56,17 +58,18 @@
   SsObject *objects = g_new0 (SsObject, count + 1);
   char **texts = g_new0 (char *, count + 1);
   SsEvent e = { .kind = SS_EVENT_PLATFORM_OBJECTS };
-  uint32_t taken = 0;
+  uint32_t valid_count = 0;
 
   for (size_t i = 0; i < count; i++)
-    if (read_object (json_array_get (items, i), &objects[taken], &texts[taken]))
-      taken++;
+    if (read_object (json_array_get (items, i), &objects[valid_count],
+                     &texts[valid_count]))
+      valid_count++;
   e.platform_objects.outcome = outcome;
   e.platform_objects.since = call->since;
   e.platform_objects.revision
       = json_integer_value (json_object_get (json, "revision"));
   e.platform_objects.objects = objects;
-  e.platform_objects.object_count = taken;
+  e.platform_objects.object_count = valid_count;
   ss_shell_event (platform.shell, &e);
   for (uint32_t i = 0; i <= count; i++)
     free (texts[i]);
@@ -211,7 +214,7 @@
 {
   platform.shell = shell;
   if (!ss_httpc_init (&platform.client, shell->loop, shell->settings->ip))
-    return g_strdup ("the HTTP library can't be started");
+    return g_strdup ("can't initialise libcurl");
   return NULL;
 }
 
--- a/src/plugins/pqtarget.c
+++ b/src/plugins/pqtarget.c
@@ -1,4 +1,4 @@
-/* pqtarget: connections to targets, by libpq without blocking. */
+/* pqtarget: connections to targets through non-blocking libpq. */
 #include <errno.h>
 #include <libpq-fe.h>
 #include <stdlib.h>
@@ -13,26 +13,26 @@
 
 typedef struct
 {
-  SsTargetLink link; /* first: callbacks cast back */
+  SsTargetLink link; /* first: callbacks cast to this struct */
   PGconn *pq;
   ev_io io;
   bool ready;
   bool busy;
-  /* the answer that is being read */
+  /* Of the answer that is being read. */
   uint32_t results;
   uint32_t skip_results;
   bool has_error;
   char sqlstate[6];
   char *tag;
-  SsPosition commit; /* last one reported */
-} Target;
+  SsPosition commit; /* the last commit position that was reported */
+} TargetConnection;
 
 static SsLinks links;
 
 static void
 finish_link (SsTargetLink *link)
 {
-  Target *t = (Target *) link;
+  TargetConnection *t = (TargetConnection *) link;
 
   ev_io_stop (links.shell->loop, &t->io);
   g_free (t->tag);
@@ -40,7 +40,7 @@
 }
 
 static void
-report_closed (Target *t)
+report_closed (TargetConnection *t)
 {
   const char *message = PQerrorMessage (t->pq);
   bool starting = !t->ready;
@@ -54,7 +54,7 @@
 }
 
 static void
-watch (Target *t, int events)
+set_io_events (TargetConnection *t, int events)
 {
   if (ev_is_active (&t->io) && t->io.events == events
       && t->io.fd == PQsocket (t->pq) && t->ready)
@@ -67,7 +67,7 @@
 /* --- answers --- */
 
 static void
-put_error (Target *t, const PGresult *r)
+put_error (TargetConnection *t, const PGresult *r)
 {
   const char *sqlstate = PQresultErrorField (r, PG_DIAG_SQLSTATE);
 
@@ -82,7 +82,7 @@
 }
 
 static void
-put_rows (Target *t, const PGresult *r)
+put_rows (TargetConnection *t, const PGresult *r)
 {
   int columns = PQnfields (r);
   SsPgwireColumn *description = g_new (SsPgwireColumn, columns + 1);
@@ -105,7 +105,7 @@
 }
 
 static void
-keep_row (Target *t, const PGresult *r)
+keep_row (TargetConnection *t, const PGresult *r)
 {
   if (PQntuples (r) < 1)
     return;
@@ -114,7 +114,7 @@
 }
 
 static void
-put_result (Target *t, PGresult *r)
+put_result (TargetConnection *t, PGresult *r)
 {
   switch (PQresultStatus (r))
     {
@@ -137,7 +137,7 @@
 }
 
 static void
-take_result (Target *t, PGresult *r)
+handle_result (TargetConnection *t, PGresult *r)
 {
   bool failed = PQresultStatus (r) == PGRES_FATAL_ERROR;
 
@@ -157,7 +157,7 @@
 }
 
 static SsPosition
-parameter_position (Target *t, const char *name)
+parameter_position (TargetConnection *t, const char *name)
 {
   const char *text = PQparameterStatus (t->pq, name);
   SsPosition p = { 0, 0 };
@@ -168,7 +168,7 @@
 }
 
 static char
-transaction_status (Target *t)
+transaction_status (TargetConnection *t)
 {
   switch (PQtransactionStatus (t->pq))
     {
@@ -182,7 +182,7 @@
 }
 
 static void
-report_result (Target *t)
+report_result (TargetConnection *t)
 {
   SsPosition commit = parameter_position (t, COMMIT_PARAMETER);
   SsTargetResult result = { 0 };
@@ -195,7 +195,9 @@
   result.sqlstate = sqlstate;
   result.tag = tag ? tag : "";
   result.applied = parameter_position (t, APPLIED_PARAMETER);
-  /* The parameter stays after its statement: only a new value counts. */
+  /* The parameter keeps its value after the statement, so only a changed value
+   * is a new commit.
+   */
   if (ss_position_compare (commit, t->commit) != 0)
     result.commit = commit;
   t->commit = commit;
@@ -205,7 +207,7 @@
 }
 
 static void
-read_answer (Target *t)
+read_answer (TargetConnection *t)
 {
   PGresult *r;
 
@@ -226,7 +228,7 @@
           return;
         }
       if (PQstatus (t->pq) != CONNECTION_BAD)
-        take_result (t, r);
+        handle_result (t, r);
       PQclear (r);
     }
   if (PQstatus (t->pq) == CONNECTION_BAD)
@@ -234,28 +236,28 @@
 }
 
 static void
-flush (Target *t)
+flush (TargetConnection *t)
 {
   int left = PQflush (t->pq);
 
-  watch (t, left == 1 ? EV_READ | EV_WRITE : EV_READ);
+  set_io_events (t, left == 1 ? EV_READ | EV_WRITE : EV_READ);
 }
 
 static void
-poll_start (Target *t)
+poll_connect (TargetConnection *t)
 {
   switch (PQconnectPoll (t->pq))
     {
     case PGRES_POLLING_READING:
-      watch (t, EV_READ);
+      set_io_events (t, EV_READ);
       break;
     case PGRES_POLLING_WRITING:
-      watch (t, EV_WRITE);
+      set_io_events (t, EV_WRITE);
       break;
     case PGRES_POLLING_OK:
       t->ready = true;
       PQsetnonblocking (t->pq, 1);
-      watch (t, EV_READ);
+      set_io_events (t, EV_READ);
       ss_link_ready (&t->link);
       break;
     default:
@@ -267,12 +269,12 @@
 static void
 on_io (struct ev_loop *loop, ev_io *w, int events)
 {
-  Target *t = w->data;
+  TargetConnection *t = w->data;
 
   (void) loop;
   if (!t->ready)
     {
-      poll_start (t);
+      poll_connect (t);
       return;
     }
   if (events & EV_WRITE)
@@ -286,13 +288,13 @@
 static void
 on_failed (SsTargetLink *link)
 {
-  report_closed ((Target *) link);
+  report_closed ((TargetConnection *) link);
 }
 
 static void
 start_link (SsTargetLink *link, const SsAction *a)
 {
-  Target *t = (Target *) link;
+  TargetConnection *t = (TargetConnection *) link;
   char *conninfo = g_strdup_printf (
       "hostaddr=%s port=%u dbname=sapphirestair user=sapphirestair "
       "sslmode=disable gssencmode=disable application_name=sapphirestair",
@@ -305,13 +307,13 @@
   if (PQstatus (t->pq) == CONNECTION_BAD)
     ss_link_fail_soon (link);
   else
-    watch (t, EV_WRITE);
+    set_io_events (t, EV_WRITE);
 }
 
 static void
 query_link (SsTargetLink *link, const SsAction *a)
 {
-  Target *t = (Target *) link;
+  TargetConnection *t = (TargetConnection *) link;
 
   link->wire = g_byte_array_new ();
   g_clear_pointer (&t->tag, g_free);
@@ -326,8 +328,8 @@
     ss_link_fail_soon (link);
 }
 
-static const SsLinksClass klass
-    = { sizeof (Target), start_link, query_link, on_failed, finish_link };
+static const SsLinksClass klass = { sizeof (TargetConnection), start_link,
+                                    query_link, on_failed, finish_link };
 
 static void
 on_action (SsShell *shell, SsAction *a)
