--- a/src/plugins/pgserver.c
+++ b/src/plugins/pgserver.c
@@ -195,7 +195,7 @@
 }
 
 static void
-handle_message (Caller *c, const SsPgwireMessage *m)
+dispatch_message (Caller *c, const SsPgwireMessage *m)
 {
   switch (m->kind)
     {
@@ -232,7 +232,7 @@
 
   if (m.kind == SS_PGWIRE_NONE)
     return 0;
-  handle_message ((Caller *) caller, &m);
+  dispatch_message ((Caller *) caller, &m);
   return used_bytes;
 }
 
