--- a/src/core/adopt.c
+++ b/src/core/adopt.c
@@ -3,13 +3,14 @@
 #include "core/spread.h"
 #include "kernel/names.h"
 
-#define PULL_AGAIN_MS 300
-#define LOOSE_SINCE (-1)
+#define PULL_INTERVAL_MS 300
+#define WITHOUT_REVISION (-1)
 
-/* An entry of a target that lapsed while the platform was away is back within
- * two seconds of its return.
+/* Grace period before a deleted target is removed.  A target object that
+ * expired during a platform outage reappears within 2 s of the end of the
+ * outage.
  */
-#define GONE_AFTER_MS 2500
+#define DELETION_GRACE_MS 2500
 
 void
 ss_adopt_pull_all (SsNode *node, const char *vm)
@@ -30,7 +31,7 @@
 
   if (node->now_ms < node->pull_due_ms)
     return;
-  node->pull_due_ms = node->now_ms + PULL_AGAIN_MS;
+  node->pull_due_ms = node->now_ms + PULL_INTERVAL_MS;
   pull.since = node->config.revision;
   e.body_case = SS__PEER__ENVELOPE__BODY_CONFIG_PULL;
   e.config_pull = &pull;
@@ -39,33 +40,35 @@
 
 /* --- configuration --- */
 
-/* The group that OBJECT is about, as it is in force; NULL: none. */
+/* Returns the current group that OBJECT describes, or NULL. */
 static const SsGroup *
-changed_group (SsNode *node, const SsObject *object)
+group_of_object (SsNode *node, const SsObject *object)
 {
   if (!g_str_has_prefix (object->key, "group/"))
     return NULL;
   return ss_config_group (&node->config, strchr (object->key, '/') + 1);
 }
 
-/* A target's entry that went may come back: it counts as gone only later. */
+/* Defers the deletion of a target, as its object may reappear.  Returns true
+ * if OBJECT is not to be adopted now.
+ */
 static bool
-postpone (SsNode *node, const SsObject *object)
+defer_deletion (SsNode *node, const SsObject *object)
 {
-  const SsStoredObject *held;
+  const SsStoredObject *stored;
   SsRemoval *r;
 
   if (!object->deleted || !g_str_has_prefix (object->key, "target/"))
     return false;
-  held = ss_config_object (&node->config, object->key);
-  if (!held || held->deleted)
+  stored = ss_config_object (&node->config, object->key);
+  if (!stored || stored->deleted)
     return true;
   r = g_hash_table_lookup (node->removals, object->key);
   if (r)
     return node->now_ms < r->due_ms;
   r = g_new0 (SsRemoval, 1);
   r->version = object->version;
-  r->due_ms = node->now_ms + GONE_AFTER_MS;
+  r->due_ms = node->now_ms + DELETION_GRACE_MS;
   g_hash_table_insert (node->removals, g_strdup (object->key), r);
   return true;
 }
@@ -73,7 +76,7 @@
 static bool
 adopt_now (SsNode *node, const SsObject *object)
 {
-  const SsGroup *group = changed_group (node, object);
+  const SsGroup *group = group_of_object (node, object);
   uint64_t term = group ? group->term : 0;
   char *error;
   SsAdoption adoption
@@ -93,7 +96,7 @@
                  object->deleted);
   if (adoption == SS_ADOPT_DONE && g_str_has_prefix (object->key, "vm/"))
     ss_directory_take (node, object);
-  group = changed_group (node, object);
+  group = group_of_object (node, object);
   if (term && group && group->term > term)
     ss_pending_superseded (node, group);
   return adoption == SS_ADOPT_DONE;
@@ -102,7 +105,7 @@
 bool
 ss_adopt_object (SsNode *node, const SsObject *object)
 {
-  return !postpone (node, object) && adopt_now (node, object);
+  return !defer_deletion (node, object) && adopt_now (node, object);
 }
 
 typedef struct
@@ -111,12 +114,12 @@
   Ss__Peer__ConfigObject *objects;
   Ss__Peer__ConfigObject **list;
   uint32_t count;
-} Push;
+} PushContext;
 
 static gboolean
 add_to_push (gpointer key, gpointer value, gpointer data)
 {
-  Push *p = data;
+  PushContext *p = data;
   const SsStoredObject *o = value;
   Ss__Peer__ConfigObject *out = &p->objects[p->count];
   gsize bytes;
@@ -143,17 +146,17 @@
   ss_node_send (node, vm, &e);
 }
 
-/* Calls SEND with a push of all objects above SINCE. */
+/* Calls SEND with a push of all objects with versions above SINCE. */
 static void
-with_push (SsNode *node, int64_t since,
-           void (*send) (SsNode *node, Ss__Peer__ConfigPush *push,
-                         const char *vm),
-           const char *vm)
+push_since (SsNode *node, int64_t since,
+            void (*send) (SsNode *node, Ss__Peer__ConfigPush *push,
+                          const char *vm),
+            const char *vm)
 {
   uint32_t all = (uint32_t) g_tree_nnodes (node->config.objects);
   Ss__Peer__ConfigPush push = SS__PEER__CONFIG_PUSH__INIT;
-  Push p = { since, g_new (Ss__Peer__ConfigObject, all + 1),
-             g_new (Ss__Peer__ConfigObject *, all + 1), 0 };
+  PushContext p = { since, g_new (Ss__Peer__ConfigObject, all + 1),
+                    g_new (Ss__Peer__ConfigObject *, all + 1), 0 };
   gsize bytes = 0;
 
   g_tree_foreach (node->config.objects, add_to_push, &p);
@@ -180,7 +183,7 @@
 }
 
 static void
-push_to_neighbour (SsNode *node, SsMember *member, void *data)
+push_to_domain_peer (SsNode *node, SsMember *member, void *data)
 {
   if (strcmp (member->failure_domain, node->params.failure_domain) == 0)
     send_push (node, member->vm, data);
@@ -190,24 +193,24 @@
 send_to_domain (SsNode *node, Ss__Peer__ConfigPush *push, const char *vm)
 {
   (void) vm;
-  ss_peers_visit (node, push_to_neighbour, push);
+  ss_peers_visit (node, push_to_domain_peer, push);
 }
 
 void
 ss_adopt_push_domain (SsNode *node, int64_t since)
 {
-  with_push (node, since, send_to_domain, NULL);
+  push_since (node, since, send_to_domain, NULL);
 }
 
 void
 ss_adopt_pull (SsNode *node, const char *from, const Ss__Peer__ConfigPull *pull)
 {
-  with_push (node, pull->since, send_to_one, from);
+  push_since (node, pull->since, send_to_one, from);
 }
 
-/* All objects of a peer were sent. */
+/* Deletes the objects that are missing from a complete push. */
 static void
-drop_unsent (SsNode *node, const Ss__Peer__ConfigPush *push)
+delete_unsent (SsNode *node, const Ss__Peer__ConfigPush *push)
 {
   GHashTable *present = g_hash_table_new (g_str_hash, g_str_equal);
 
@@ -226,16 +229,16 @@
       SsObject o = { in->key, in->version, (const char *) in->value.data,
                      (uint32_t) in->value.len, in->deleted };
 
-      /* The sender waited for what was deleted to come back. */
+      /* The sender has already waited out the grace period of deletions. */
       adopt_now (node, &o);
     }
   if (push->complete)
-    drop_unsent (node, push);
+    delete_unsent (node, push);
   if (push->vms.len)
     ss_feeds_vms (node, (const char *) push->vms.data,
                   (uint32_t) push->vms.len);
   ss_owner_update (node);
-  if (push->since == LOOSE_SINCE)
+  if (push->since == WITHOUT_REVISION)
     return;
   if (push->since <= node->config.revision)
     node->config.revision = MAX (node->config.revision, push->revision);
@@ -249,11 +252,12 @@
   send_push (node, member->vm, data);
 }
 
-/* Passes OBJECTS on at once, outside of the watch; NEAR: in the failure domain
- * only.
+/* Forwards OBJECTS at once, independent of revisions; DOMAIN_ONLY: to VMs of
+ * the own failure domain only.
  */
 static void
-send_loose (SsNode *node, const SsObject *objects, uint32_t count, bool near)
+forward_objects (SsNode *node, const SsObject *objects, uint32_t count,
+                 bool domain_only)
 {
   Ss__Peer__ConfigPush push = SS__PEER__CONFIG_PUSH__INIT;
   Ss__Peer__ConfigObject *copies = g_new (Ss__Peer__ConfigObject, count + 1);
@@ -269,22 +273,20 @@
       copies[i].deleted = objects[i].deleted;
       list[i] = &copies[i];
     }
-  push.since = LOOSE_SINCE;
+  push.since = WITHOUT_REVISION;
   push.objects = list;
   push.n_objects = count;
-  ss_peers_visit (node, near ? push_to_neighbour : push_to_peer, &push);
+  ss_peers_visit (node, domain_only ? push_to_domain_peer : push_to_peer,
+                  &push);
   g_free (list);
   g_free (copies);
 }
 
-/* A relay passes what it adopted on to its failure domain, whose other vms
- * watch nothing.
- */
 void
 ss_adopt_forward (SsNode *node, const SsObject *objects, uint32_t count)
 {
   if (count && node->members.relayed && ss_feeds_watches (node))
-    send_loose (node, objects, count, true);
+    forward_objects (node, objects, count, true);
 }
 
 void
@@ -293,7 +295,7 @@
   if (!ss_adopt_object (node, object))
     return;
   ss_owner_update (node);
-  send_loose (node, object, 1, false);
+  forward_objects (node, object, 1, false);
 }
 
 typedef struct
@@ -302,12 +304,12 @@
   int64_t revision;
   GHashTable *present;
   GPtrArray *missing;
-} Complete;
+} MissingContext;
 
 static gboolean
 find_missing (gpointer key, gpointer value, gpointer data)
 {
-  Complete *c = data;
+  MissingContext *c = data;
   const SsStoredObject *o = value;
 
   if (!o->deleted && o->version <= c->revision
@@ -317,12 +319,11 @@
   return FALSE;
 }
 
-/* What is held of PREFIX up to REVISION, and is not PRESENT, is gone. */
 bool
 ss_adopt_drop_missing (SsNode *node, const char *prefix, int64_t revision,
                        GHashTable *present)
 {
-  Complete c
+  MissingContext c
       = { prefix, revision, present, g_ptr_array_new_with_free_func (g_free) };
   bool dropped = false;
 
@@ -342,7 +343,6 @@
   return dropped;
 }
 
-/* Takes the targets away whose entries did not come back. */
 void
 ss_adopt_remove_gone (SsNode *node)
 {
--- a/src/core/command.c
+++ b/src/core/command.c
@@ -54,11 +54,12 @@
   char *error;
 } Parser;
 
-/* Keeps the first error only.  The scanner tells where the last token ended;
- * the next one begins after the blanks.
+/* Sets the error, unless one is set already; returns false.  The scanner's
+ * position is the end of the last token; the next one begins after the white
+ * space.
  */
 static bool
-expected (Parser *p, const char *what)
+set_error (Parser *p, const char *what)
 {
   guint at = p->scanner->position;
 
@@ -71,19 +72,19 @@
 }
 
 static bool
-take_word (Parser *p, const char *word)
+accept_word (Parser *p, const char *word)
 {
   return ss_scan_word (p->scanner, word);
 }
 
 static bool
-need_word (Parser *p, const char *word)
+expect_word (Parser *p, const char *word)
 {
-  return take_word (p, word) || expected (p, word);
+  return accept_word (p, word) || set_error (p, word);
 }
 
 static bool
-need_name (Parser *p, const char *what, char **name)
+expect_name (Parser *p, const char *what, char **name)
 {
   GTokenType type = g_scanner_peek_next_token (p->scanner);
 
@@ -92,40 +93,40 @@
   else if (type == G_TOKEN_STRING)
     *name = g_strdup (p->scanner->next_value.v_string);
   else
-    return expected (p, what);
+    return set_error (p, what);
   g_scanner_get_next_token (p->scanner);
   return true;
 }
 
 static bool
-take_char (Parser *p, char c)
+accept_char (Parser *p, char c)
 {
   return ss_scan_char (p->scanner, c);
 }
 
 static bool
-need_operator (Parser *p, SsOperator *op)
+expect_operator (Parser *p, SsOperator *op)
 {
-  if (take_char (p, '='))
+  if (accept_char (p, '='))
     *op = SS_OP_EQUAL;
-  else if (take_char (p, '!'))
+  else if (accept_char (p, '!'))
     {
       *op = SS_OP_UNEQUAL;
-      return take_char (p, '=') || expected (p, "!=");
+      return accept_char (p, '=') || set_error (p, "!=");
     }
-  else if (take_char (p, '<'))
-    *op = take_char (p, '=') ? SS_OP_LESS_EQUAL : SS_OP_LESS;
-  else if (take_char (p, '>'))
-    *op = take_char (p, '=') ? SS_OP_GREATER_EQUAL : SS_OP_GREATER;
+  else if (accept_char (p, '<'))
+    *op = accept_char (p, '=') ? SS_OP_LESS_EQUAL : SS_OP_LESS;
+  else if (accept_char (p, '>'))
+    *op = accept_char (p, '=') ? SS_OP_GREATER_EQUAL : SS_OP_GREATER;
   else
-    return expected (p, "one of = != < <= > >=");
+    return set_error (p, "one of = != < <= > >=");
   return true;
 }
 
 static bool
-need_value (Parser *p, json_t **value)
+expect_value (Parser *p, json_t **value)
 {
-  bool negative = take_char (p, '-');
+  bool negative = accept_char (p, '-');
   GTokenType type = g_scanner_peek_next_token (p->scanner);
   const GTokenValue *v = &p->scanner->next_value;
 
@@ -139,7 +140,7 @@
   else if (type == G_TOKEN_IDENTIFIER && !negative)
     *value = json_string (v->v_identifier);
   else
-    return expected (p, "a number, a word or a quoted text");
+    return set_error (p, "a number, a word or a quoted text");
   g_scanner_get_next_token (p->scanner);
   return true;
 }
@@ -151,11 +152,11 @@
   json_t *value = NULL;
 
   if (c->condition_count == SS_COMMAND_CONDITIONS_MAX)
-    return expected (p, "at most 8 conditions");
-  if (!need_name (p, "a field", &condition->field))
+    return set_error (p, "at most 8 conditions");
+  if (!expect_name (p, "a field", &condition->field))
     return false;
   c->condition_count++;
-  if (!need_operator (p, &condition->op) || !need_value (p, &value))
+  if (!expect_operator (p, &condition->op) || !expect_value (p, &value))
     return false;
   condition->is_number = json_is_number (value);
   condition->number = json_number_value (value);
@@ -177,21 +178,21 @@
     name = p->scanner->next_value.v_identifier;
   found = name && ss_table_find (name, &c->table);
   if (!found)
-    return expected (p, "services, targets, groups, vms, sessions, config "
-                        "or counters");
+    return set_error (p, "services, targets, groups, vms, sessions, config "
+                         "or counters");
   g_scanner_get_next_token (p->scanner);
-  if (take_word (p, "where"))
+  if (accept_word (p, "where"))
     do
       {
         if (!parse_condition (p, c))
           return false;
       }
-    while (take_word (p, "and"));
-  if (!take_word (p, "order"))
+    while (accept_word (p, "and"));
+  if (!accept_word (p, "order"))
     return true;
-  if (!need_word (p, "by") || !need_name (p, "a field", &c->order_by))
+  if (!expect_word (p, "by") || !expect_name (p, "a field", &c->order_by))
     return false;
-  c->descending = take_word (p, "desc");
+  c->descending = accept_word (p, "desc");
   return true;
 }
 
@@ -199,16 +200,16 @@
 parse_named (Parser *p, SsCommand *c, SsCommandKind kind, const char *noun)
 {
   c->kind = kind;
-  return need_word (p, noun) && need_name (p, "a name", &c->name);
+  return expect_word (p, noun) && expect_name (p, "a name", &c->name);
 }
 
 static bool
-need_term (Parser *p, uint64_t *term)
+expect_term (Parser *p, uint64_t *term)
 {
   const GTokenValue *v = &p->scanner->next_value;
 
   if (g_scanner_peek_next_token (p->scanner) != G_TOKEN_INT || v->v_int64 == 0)
-    return expected (p, "a term, from 1");
+    return set_error (p, "a term, from 1");
   *term = v->v_int64;
   g_scanner_get_next_token (p->scanner);
   return true;
@@ -219,33 +220,33 @@
 {
   if (!parse_named (p, c, SS_COMMAND_PROMOTE, "group"))
     return false;
-  if (take_word (p, "to") && !need_name (p, "a server", &c->to))
+  if (accept_word (p, "to") && !expect_name (p, "a server", &c->to))
     return false;
-  return !take_word (p, "if")
-         || (need_word (p, "term") && need_term (p, &c->if_term));
+  return !accept_word (p, "if")
+         || (expect_word (p, "term") && expect_term (p, &c->if_term));
 }
 
 static bool
 parse_command (Parser *p, SsCommand *c)
 {
-  if (take_word (p, "show"))
+  if (accept_word (p, "show"))
     return parse_show (p, c);
-  if (take_word (p, "drain"))
+  if (accept_word (p, "drain"))
     return parse_named (p, c, SS_COMMAND_DRAIN, "target");
-  if (take_word (p, "undrain"))
+  if (accept_word (p, "undrain"))
     return parse_named (p, c, SS_COMMAND_UNDRAIN, "target");
-  if (take_word (p, "stop"))
+  if (accept_word (p, "stop"))
     return parse_named (p, c, SS_COMMAND_STOP, "vm");
-  if (take_word (p, "promote"))
+  if (accept_word (p, "promote"))
     return parse_promote (p, c);
-  if (take_word (p, "set"))
+  if (accept_word (p, "set"))
     return parse_named (p, c, SS_COMMAND_SET, "service")
-           && need_name (p, "a key", &c->key)
-           && (take_char (p, '=') || expected (p, "="))
-           && need_value (p, &c->value);
+           && expect_name (p, "a key", &c->key)
+           && (accept_char (p, '=') || set_error (p, "="))
+           && expect_value (p, &c->value);
   c->kind = SS_COMMAND_HELP;
-  return take_word (p, "help")
-         || expected (p, "show, drain, undrain, stop, promote, set or help");
+  return accept_word (p, "help")
+         || set_error (p, "show, drain, undrain, stop, promote, set or help");
 }
 
 char *
@@ -256,9 +257,9 @@
   memset (command, 0, sizeof *command);
   if (parse_command (&p, command))
     {
-      take_char (&p, ';');
+      accept_char (&p, ';');
       if (g_scanner_peek_next_token (p.scanner) != G_TOKEN_EOF)
-        expected (&p, "the end of the command");
+        set_error (&p, "the end of the command");
     }
   g_scanner_destroy (p.scanner);
   return p.error;
@@ -282,7 +283,7 @@
 /* --- selecting rows --- */
 
 static bool
-holds (SsOperator op, double order)
+order_satisfies (SsOperator op, double order)
 {
   switch (op)
     {
@@ -302,7 +303,7 @@
 }
 
 static const char *
-text_of (const json_t *value)
+value_text (const json_t *value)
 {
   if (json_is_boolean (value))
     return json_is_true (value) ? "true" : "false";
@@ -310,15 +311,16 @@
 }
 
 static bool
-matches (const SsCondition *c, const json_t *row)
+row_matches (const SsCondition *c, const json_t *row)
 {
   const json_t *value = json_object_get (row, c->field);
   int order;
 
   if (json_is_number (value))
-    return c->is_number && holds (c->op, json_number_value (value) - c->number);
-  order = strcmp (text_of (value), c->text);
-  return holds (c->op, (double) order);
+    return c->is_number
+           && order_satisfies (c->op, json_number_value (value) - c->number);
+  order = strcmp (value_text (value), c->text);
+  return order_satisfies (c->op, (double) order);
 }
 
 static char *
@@ -364,7 +366,7 @@
   if (json_is_number (x) && json_is_number (y))
     order = json_number_value (x) - json_number_value (y);
   else
-    order = (double) strcmp (text_of (x), text_of (y));
+    order = (double) strcmp (value_text (x), value_text (y));
   if (c->descending)
     order = -order;
   return order < 0 ? -1 : order > 0;
@@ -398,7 +400,7 @@
     return error;
   for (size_t i = json_array_size (rows); i > 0; i--)
     for (uint32_t j = 0; j < command->condition_count; j++)
-      if (!matches (&command->conditions[j], json_array_get (rows, i - 1)))
+      if (!row_matches (&command->conditions[j], json_array_get (rows, i - 1)))
         {
           json_array_remove (rows, i - 1);
           break;
--- a/src/core/command.h
+++ b/src/core/command.h
@@ -1,4 +1,4 @@
-/* command: the operators' query and command language.
+/* command: the operators' query and command language.  Grammar:
  *
  *   show TABLE [where FIELD OP VALUE [and ...]] [order by FIELD [desc]]
  *   drain target NAME        undrain target NAME       stop vm NAME
@@ -72,24 +72,27 @@
   bool descending;
   char *name;
   char *to;         /* of promote; NULL: any server */
-  uint64_t if_term; /* of promote: only while it is in force; 0: any */
+  uint64_t if_term; /* of promote: required current term; 0: any */
   char *key;        /* of set */
   json_t *value;    /* of set */
 } SsCommand;
 
-/* ss_command_init: parses TEXT.  Returns NULL, or a message that names the
- * column and what was expected, to be freed; ss_command_finish is due in
- * either case.
+/* ss_command_init: parses TEXT.  Returns NULL, or an error message that names
+ * the column and what was expected; the caller frees it.  Call
+ * ss_command_finish in either case.
  */
 char *ss_command_init (SsCommand *command, const char *text);
 void ss_command_finish (SsCommand *command);
 
 const char *ss_table_name (SsTable table);
-/* ss_table_find: returns false where NAME is no table. */
+/* ss_table_find: sets *TABLE; returns false if NAME is not a table.  Ignores
+ * case.
+ */
 bool ss_table_find (const char *name, SsTable *table);
 
-/* ss_command_select: filters and orders ROWS (objects) in place.  Returns
- * NULL, or a message about an unknown field, to be freed.
+/* ss_command_select: filters and sorts ROWS, an array of objects, in place.
+ * Returns NULL, or an error message about an unknown field that the caller
+ * frees.
  */
 char *ss_command_select (const SsCommand *command, json_t *rows);
 
--- a/src/core/config.c
+++ b/src/core/config.c
@@ -100,12 +100,12 @@
 {
   const SsConfig *config;
   SsGroup *group;
-} Attach;
+} AttachContext;
 
 static gboolean
 attach_server (gpointer key, gpointer value, gpointer data)
 {
-  Attach *a = data;
+  AttachContext *a = data;
   SsTarget *t = value;
 
   (void) key;
@@ -119,7 +119,7 @@
 attach_servers (gpointer key, gpointer value, gpointer data)
 {
   const SsConfig *c = data;
-  Attach a = { c, value };
+  AttachContext a = { c, value };
 
   (void) key;
   a.group->server_count = 0;
@@ -142,7 +142,7 @@
   return error;
 }
 
-/* A target known already keeps its place in memory and its state. */
+/* Updates a known target in place: pointers to it and its state stay valid. */
 static char *
 adopt_target (SsConfig *c, const char *name, int64_t version, json_t *json)
 {
@@ -173,7 +173,7 @@
   t->slots = parsed.slots;
   t->draining = parsed.draining;
   t->gone = false;
-  /* Another life of the server: nothing that is known of it holds. */
+  /* A new incarnation of the server: its last known state is void. */
   if (t->born_ms != parsed.born_ms)
     memset (&t->state, 0, sizeof t->state);
   t->born_ms = parsed.born_ms;
@@ -182,11 +182,12 @@
   return NULL;
 }
 
-/* A claim of a named primary raises the term: between two claims of the same
- * term none was named.
+/* Returns since when the group has had no primary, or 0 if it has one.  A claim
+ * on a group with a primary raises the term, so no primary was set between two
+ * claims of the same term.
  */
 static int64_t
-unnamed_since (const SsConfig *c, const SsGroup *g, int64_t now_ms)
+no_primary_since (const SsConfig *c, const SsGroup *g, int64_t now_ms)
 {
   const SsGroup *before = ss_config_group (c, g->name);
 
@@ -212,7 +213,7 @@
       group_free (g);
       return error;
     }
-  g->unnamed_ms = unnamed_since (c, g, now_ms);
+  g->unnamed_ms = no_primary_since (c, g, now_ms);
   g_tree_replace (c->groups, g->name, g);
   attach_servers (g->name, g, c);
   return NULL;
@@ -234,7 +235,7 @@
 }
 
 static char *
-adopt_groups (SsConfig *c, json_t *groups)
+adopt_group_limits (SsConfig *c, json_t *groups)
 {
   const char *name;
   json_t *group;
@@ -256,8 +257,8 @@
   return NULL;
 }
 
-/* All services at once: those that are not named are gone.  What was in force
- * stays where any part is invalid.
+/* Replaces all services: those that JSON does not list are removed.  Keeps the
+ * previous services if any part is invalid.
  */
 static char *
 adopt_routes (SsConfig *c, int64_t version, json_t *json)
@@ -279,7 +280,7 @@
     error = ss_parse_number (json, "transaction_idle_ms", 0, 0,
                              SS_TIMEOUT_MAX_MS, &idle_ms);
   if (!error)
-    error = adopt_groups (c, json_object_get (json, "groups"));
+    error = adopt_group_limits (c, json_object_get (json, "groups"));
   if (error)
     {
       g_tree_destroy (c->services);
@@ -325,10 +326,10 @@
 store_object (SsConfig *c, const SsObject *object)
 {
   SsStoredObject *o = g_new0 (SsStoredObject, 1);
-  const SsStoredObject *held = ss_config_object (c, object->key);
+  const SsStoredObject *stored = ss_config_object (c, object->key);
 
-  if (held)
-    c->hash ^= hash_object (held->key, held->version, held->deleted);
+  if (stored)
+    c->hash ^= hash_object (stored->key, stored->version, stored->deleted);
   c->hash ^= hash_object (object->key, object->version, object->deleted);
 
   o->key = g_strdup (object->key);
@@ -338,8 +339,8 @@
   g_tree_replace (c->objects, o->key, o);
 }
 
-/* Only targets go for good; what else is deleted at the platform stays in
- * force until something replaces it.
+/* Only the deletion of a target takes effect.  Other objects that are deleted
+ * at the platform stay in force until another object replaces them.
  */
 static void
 remove_object (SsConfig *c, const char *key)
@@ -356,23 +357,23 @@
   g_tree_foreach (c->groups, attach_servers, c);
 }
 
-/* An object is deleted at the version that it had. */
+/* A deletion carries the version of the object that it deletes. */
 static bool
-is_later (const SsStoredObject *held, const SsObject *object)
+is_newer (const SsStoredObject *stored, const SsObject *object)
 {
-  if (held->version == object->version)
-    return object->deleted && !held->deleted;
-  return held->version < object->version;
+  if (stored->version == object->version)
+    return object->deleted && !stored->deleted;
+  return stored->version < object->version;
 }
 
 SsAdoption
 ss_config_adopt (SsConfig *config, const SsObject *object, int64_t now_ms,
                  char **error)
 {
-  const SsStoredObject *held = ss_config_object (config, object->key);
+  const SsStoredObject *stored = ss_config_object (config, object->key);
 
   *error = NULL;
-  if (held && !is_later (held, object))
+  if (stored && !is_newer (stored, object))
     return SS_ADOPT_OLD;
   if (object->deleted)
     remove_object (config, object->key);
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -1,8 +1,9 @@
-/* config: the configuration in force, as objects of the platform.
+/* config: the configuration in force, built from platform objects.
  *
- * Objects are adopted only in rising versions.  Keys are service/NAME,
- * target/NAME and group/NAME; routes/NAME replaces all services at once, and
- * says which groups there are.  Other keys are kept and passed on unread.
+ * An object is adopted only if its version is higher than the stored one; a
+ * deletion may carry the same version.  Keys are service/NAME, target/NAME and
+ * group/NAME.  routes/NAME replaces all services at once and declares the
+ * groups.  Objects under other keys are stored and forwarded uninterpreted.
  */
 #ifndef SS_CONFIG_H
 #define SS_CONFIG_H
@@ -32,7 +33,7 @@
 
 const char *ss_server_role_text (SsServerRole role);
 
-/* What a server last said of itself. */
+/* The last state that a server reported. */
 typedef struct
 {
   bool reachable;
@@ -41,12 +42,12 @@
   uint64_t shown_term;
   SsPosition held;
   SsPosition applied;
-  uint32_t silence_ms; /* since it heard its primary */
+  uint32_t silence_ms; /* since it last heard from its primary */
   uint64_t follow_term;
   SsHistory history;
-  uint32_t wait_ms;     /* predicted for a new statement */
-  uint32_t lag_ms;      /* of what it has applied behind its primary */
-  uint64_t barred_term; /* it receives nothing below this term; 0: it does */
+  uint32_t wait_ms;     /* predicted queueing time of a new statement */
+  uint32_t lag_ms;      /* replication lag of the applied position */
+  uint64_t barred_term; /* replicates no term below this one; 0: no bar */
 } SsServerState;
 
 typedef struct
@@ -58,17 +59,18 @@
   char *ip;
   uint16_t port;
   char *failure_domain;
-  uint32_t max_connections; /* 0: as its group's */
-  uint32_t slots;           /* statements that it runs at once; 0: unknown */
-  int64_t born_ms;          /* Unix time of its start; 0: unknown */
+  uint32_t max_connections; /* 0: the group's limit */
+  uint32_t slots;           /* concurrent statements; 0: unknown */
+  int64_t born_ms;          /* Unix time of its start; 0: unknown.  Identifies
+                               the incarnation. */
   bool draining;
-  bool gone; /* kept for what still points here */
-  /* view of its state */
+  bool gone; /* deleted; kept because pointers to it remain */
+  /* last known state */
   SsServerState state;
-  int64_t state_ms;     /* when the server was asked, at the latest */
+  int64_t state_ms;     /* upper bound on when the server was asked for it */
   int64_t reachable_ms; /* when it last answered */
-  uint32_t outstanding; /* requests that this vm has at it */
-  /* cache of its owner */
+  uint32_t outstanding; /* requests of this VM in flight there */
+  /* cached owner */
   uint64_t owner_generation;
   const char *owner;
 } SsTarget;
@@ -86,9 +88,9 @@
   char *group;
   char *default_kind; /* empty: statements go to the primary */
   bool acknowledge_majority;
-  bool knows_callers; /* by their user names */
+  bool knows_callers; /* a user name identifies one caller */
   uint32_t weight;
-  int64_t timeout_ms; /* of a statement; 0: the vm's setting */
+  int64_t timeout_ms; /* of a statement; 0: the VM's setting */
   SsReadKind kinds[SS_CONFIG_KINDS_MAX];
   uint32_t kind_count;
 } SsService;
@@ -100,11 +102,11 @@
   uint64_t term;
   char *primary; /* empty while a promotion runs */
   char *operation;
-  int64_t changed_ms;   /* when this vm adopted it */
-  int64_t unnamed_ms;   /* since when this vm knows of no primary at this term;
-                           0: one is named */
-  int64_t confirmed_ms; /* when the platform was last asked whether this
-                           version is in force, and said so; 0: never */
+  int64_t changed_ms;   /* when this VM adopted this version */
+  int64_t unnamed_ms;   /* since when this VM knows of no primary in this term;
+                           0: a primary is set */
+  int64_t confirmed_ms; /* when the last query was sent by which the platform
+                           confirmed this version as current; 0: never */
   SsTarget *servers[SS_CONFIG_SERVERS_MAX];
   uint32_t server_count;
 } SsGroup;
@@ -115,9 +117,9 @@
   GTree *services;
   GTree *targets;
   GTree *groups;
-  GHashTable *max_connections; /* group -> of each of its servers */
-  int64_t transaction_idle_ms; /* 0: the vm's setting */
-  uint64_t hash;               /* of all objects, for comparing two vms' */
+  GHashTable *max_connections; /* group -> limit for each of its servers */
+  int64_t transaction_idle_ms; /* 0: the VM's setting */
+  uint64_t hash;               /* of all objects; equal on VMs in sync */
   int64_t revision;
 } SsConfig;
 
@@ -139,15 +141,15 @@
 void ss_config_init (SsConfig *config);
 void ss_config_finish (SsConfig *config);
 
-/* ss_config_adopt: takes OBJECT where its version is higher than the one
- * held.  On SS_ADOPT_INVALID, *ERROR is a message to be freed and what was in
- * force stays in force.
+/* ss_config_adopt: adopts OBJECT if it is newer than the stored one.  On
+ * SS_ADOPT_INVALID, *ERROR is a message that the caller frees, and the
+ * configuration is unchanged.
  */
 SsAdoption ss_config_adopt (SsConfig *config, const SsObject *object,
                             int64_t now_ms, char **error);
 
-/* ss_config_check: whether KEY and VALUE would be adopted; returns NULL or a
- * message to be freed.
+/* ss_config_check: validates VALUE as the object under KEY.  Returns NULL, or
+ * an error message that the caller frees.
  */
 char *ss_config_check (const char *key, const char *value,
                        uint32_t value_bytes);
@@ -158,18 +160,18 @@
 const SsStoredObject *ss_config_object (const SsConfig *config,
                                         const char *key);
 
-/* ss_config_max_connections: of all connections at TARGET together. */
+/* ss_config_max_connections: the limit on all connections to TARGET. */
 uint32_t ss_config_max_connections (const SsConfig *config,
                                     const SsTarget *target);
 
-/* ss_service_staleness: of KIND in milliseconds; 0 for "session", -1 where
- * the service has no such kind.
+/* ss_service_staleness: returns the staleness bound of KIND in milliseconds, 0
+ * for "session", or -1 if the service has no such kind.
  */
 int64_t ss_service_staleness (const SsService *service, const char *kind);
 
-/* ss_group_majority: how many servers make one. */
+/* ss_group_majority: returns the number of servers in a majority. */
 uint32_t ss_group_majority (const SsGroup *group);
-/* ss_group_primary: the configured primary, or NULL. */
+/* ss_group_primary: returns the configured primary, or NULL. */
 SsTarget *ss_group_primary (const SsGroup *group);
 
 #endif
--- a/src/core/directory.c
+++ b/src/core/directory.c
@@ -1,4 +1,4 @@
-/* directory: the vms as objects of the platform, one for each vm. */
+/* directory: the VM directory at the platform: one object vm/NAME per VM. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,9 +6,11 @@
 #include "core/internal.h"
 #include "core/spread.h"
 
-/* Between two tries to write this vm's object. */
-#define WRITE_AGAIN_MS 1000
-/* A vm that was silent for this long does not come back under its address. */
+/* Interval between attempts to write this VM's object. */
+#define WRITE_INTERVAL_MS 1000
+/* A VM that has been silent for this long does not return at its address: its
+ * object is deleted.
+ */
 #define DEAD_MS 30000
 #define PREFIX "vm/"
 #define SUBJECT "directory"
@@ -17,12 +19,12 @@
 {
   SsNode *node;
   json_t *leases;
-} Leases;
+} LeasesContext;
 
 static gboolean
 add_lease (gpointer key, gpointer value, gpointer data)
 {
-  Leases *l = data;
+  LeasesContext *l = data;
   SsTarget *primary = ss_group_primary (value);
 
   if (primary && ss_node_is_owner (l->node, primary))
@@ -30,13 +32,13 @@
   return FALSE;
 }
 
-/* What others have to know of this vm: where it is, and which primaries it may
- * hold leases for.
+/* Returns the value of this VM's object: its address, and the groups whose
+ * primaries it may hold leases on.  Free with free ().
  */
 static char *
 own_value (SsNode *node)
 {
-  Leases l = { node, json_array () };
+  LeasesContext l = { node, json_array () };
   json_t *json;
   char *text;
 
@@ -62,20 +64,22 @@
 }
 
 static bool
-is_listed (const SsStoredObject *o, const char *value)
+is_up_to_date (const SsStoredObject *o, const char *value)
 {
   gsize bytes;
-  const char *held;
+  const char *stored;
 
   if (!o || o->deleted)
     return false;
-  held = g_bytes_get_data (o->value, &bytes);
-  return bytes == strlen (value) && memcmp (held, value, bytes) == 0;
+  stored = g_bytes_get_data (o->value, &bytes);
+  return bytes == strlen (value) && memcmp (stored, value, bytes) == 0;
 }
 
-/* The leases that this vm's object names, and since when. */
+/* Updates the leases that this VM's object lists; those listed before keep
+ * their time.
+ */
 static void
-take_own (SsNode *node, const SsObject *object)
+update_leases (SsNode *node, const SsObject *object)
 {
   json_t *json = json_loadb (object->value, object->value_bytes, 0, NULL);
   json_t *item;
@@ -99,7 +103,7 @@
 }
 
 static bool
-names_lease (const SsStoredObject *o, const char *group)
+lists_lease (const SsStoredObject *o, const char *group)
 {
   gsize bytes;
   const char *text = g_bytes_get_data (o->value, &bytes);
@@ -121,13 +125,13 @@
   const char *self;
   const char *group;
   GHashTable *released;
-  bool pending;
-} Holders;
+  bool found_holder;
+} HolderSearch;
 
 static gboolean
 find_holder (gpointer key, gpointer value, gpointer data)
 {
-  Holders *h = data;
+  HolderSearch *h = data;
   const SsStoredObject *o = value;
   const char *vm;
 
@@ -135,9 +139,9 @@
     return FALSE;
   vm = (const char *) key + strlen (PREFIX);
   if (strcmp (vm, h->self) == 0 || g_hash_table_contains (h->released, vm)
-      || !names_lease (o, h->group))
+      || !lists_lease (o, h->group))
     return FALSE;
-  h->pending = true;
+  h->found_holder = true;
   return TRUE;
 }
 
@@ -145,10 +149,10 @@
 ss_directory_has_holder (const SsNode *node, const char *group,
                          GHashTable *released)
 {
-  Holders h = { node->params.vm, group, released, false };
+  HolderSearch h = { node->params.vm, group, released, false };
 
   g_tree_foreach (node->config.objects, find_holder, &h);
-  return h.pending;
+  return h.found_holder;
 }
 
 static void
@@ -158,7 +162,7 @@
   char *value = own_value (node);
   SsAction *a;
 
-  if (!is_listed (o, value))
+  if (!is_up_to_date (o, value))
     {
       a = ss_node_push (node, SS_ACTION_PLATFORM_PUT);
       a->id = ++node->next_call;
@@ -170,7 +174,7 @@
 }
 
 static void
-remove_vm (SsNode *node, const char *vm, int64_t version)
+delete_vm_object (SsNode *node, const char *vm, int64_t version)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_PLATFORM_DELETE);
 
@@ -179,9 +183,9 @@
   a->number = version;
 }
 
-/* Takes the objects of vms that are long dead away. */
+/* Deletes the objects of VMs that have been dead for DEAD_MS. */
 static void
-remove_dead (SsNode *node)
+delete_dead_vms (SsNode *node)
 {
   GPtrArray *dead = g_ptr_array_new ();
 
@@ -192,7 +196,7 @@
       const SsStoredObject *o = stored_vm (node, m->vm);
 
       if (o && !o->deleted)
-        remove_vm (node, m->vm, o->version);
+        delete_vm_object (node, m->vm, o->version);
     }
   g_ptr_array_free (dead, TRUE);
 }
@@ -210,7 +214,7 @@
   if (strcmp (vm, node->params.vm) == 0)
     {
       if (!object->deleted)
-        take_own (node, object);
+        update_leases (node, object);
       return;
     }
   if (object->deleted)
@@ -234,7 +238,9 @@
   json_decref (json);
 }
 
-/* The object as another write left it: ours is written on top of it. */
+/* Adopts the object that the platform returned.  After a conflict, writes this
+ * VM's object again on top of it.
+ */
 void
 ss_directory_object (SsNode *node, SsPlatformOutcome outcome,
                      const SsObject *object)
@@ -251,7 +257,7 @@
 ss_directory_leave (SsNode *node)
 {
   if (node->feeds[SS_FEED_VMS].complete)
-    remove_vm (node, node->params.vm, 0);
+    delete_vm_object (node, node->params.vm, 0);
 }
 
 void
@@ -262,9 +268,9 @@
   if (!node->feeds[SS_FEED_VMS].complete || node->stopping
       || node->now_ms < node->directory_due_ms)
     return;
-  node->directory_due_ms = node->now_ms + WRITE_AGAIN_MS;
+  node->directory_due_ms = node->now_ms + WRITE_INTERVAL_MS;
   write_own (node);
   coordinator = ss_members_coordinator (&node->members, SUBJECT);
   if (coordinator && strcmp (coordinator, node->params.vm) == 0)
-    remove_dead (node);
+    delete_dead_vms (node);
 }
--- a/src/core/feeds.c
+++ b/src/core/feeds.c
@@ -5,17 +5,19 @@
 
 #define WATCH_RETRY_MS 300
 #define WATCH_WAIT_MS 8000
-/* Many vms and targets change their objects at the same time, at a start
- * above all: one answer has them all.
+/* Delay before the next watch.  Many VMs and targets change their objects at
+ * the same time, especially at start-up: the delay batches these changes into
+ * one response.
  */
-#define VMS_AGAIN_MS 1000
-#define TARGETS_AGAIN_MS 300
-/* A vm that got no configuration of its relays watches itself after this. */
-#define UNREADY_MS 3000
-#define VMS_MS 1000
+#define VMS_BATCH_MS 1000
+#define TARGETS_BATCH_MS 300
+/* A VM that has no configuration from its relays by then watches the platform
+ * itself.
+ */
+#define OWN_WATCH_AFTER_MS 3000
+#define VMS_INTERVAL_MS 1000
 #define RELAYS 2
 
-/* Whether one watch tells of all objects; else each kind has its own. */
 bool
 ss_feeds_are_one (const SsNode *node)
 {
@@ -32,7 +34,7 @@
 }
 
 static void
-note_platform (SsNode *node, SsPlatformOutcome outcome)
+update_platform_down (SsNode *node, SsPlatformOutcome outcome)
 {
   bool down = outcome == SS_PLATFORM_UNKNOWN || outcome == SS_PLATFORM_REFUSED;
 
@@ -44,7 +46,7 @@
                "platform", "watch");
 }
 
-/* The frontier up to which every feed was seen. */
+/* Returns the revision up to which every watch is complete. */
 static int64_t
 lowest_revision (const SsNode *node)
 {
@@ -56,9 +58,11 @@
   return lowest;
 }
 
-/* All objects of a feed were listed. */
+/* Deletes the stored objects that are missing from a complete list of the
+ * watch's objects.  Returns whether any was deleted.
+ */
 static bool
-drop_unlisted (SsNode *node, const SsEvent *e)
+delete_unlisted (SsNode *node, const SsEvent *e)
 {
   GHashTable *present = g_hash_table_new (g_str_hash, g_str_equal);
   bool dropped;
@@ -72,7 +76,9 @@
   return dropped;
 }
 
-/* Adopts the objects of an answer and passes on those that are new. */
+/* Adopts the objects of a response and forwards those that are new.  Returns
+ * whether any was adopted.
+ */
 static bool
 adopt_all (SsNode *node, const SsEvent *e)
 {
@@ -88,17 +94,19 @@
   return taken_count > 0;
 }
 
-/* A list beside the feed's watch, for what has to be known as of now. */
+/* Handles the response to an explicit list request, which is sent in addition
+ * to the watch where current data is required.
+ */
 static void
 take_list (SsNode *node, const SsEvent *e)
 {
   bool adopted = false;
 
-  note_platform (node, e->platform_objects.outcome);
+  update_platform_down (node, e->platform_objects.outcome);
   if (e->platform_objects.outcome == SS_PLATFORM_DONE)
     {
       adopted = adopt_all (node, e);
-      adopted = drop_unlisted (node, e) || adopted;
+      adopted = delete_unlisted (node, e) || adopted;
     }
   if (adopted)
     ss_owner_update (node);
@@ -108,7 +116,7 @@
 void
 ss_feeds_objects (SsNode *node, const SsEvent *e)
 {
-  SsFeedState *feed = &node->feeds[e->platform_objects.feed];
+  SsFeedState *watch = &node->feeds[e->platform_objects.feed];
   int64_t since = e->platform_objects.since;
   bool adopted = false;
 
@@ -117,31 +125,31 @@
       take_list (node, e);
       return;
     }
-  feed->watching = false;
-  note_platform (node, e->platform_objects.outcome);
+  watch->watching = false;
+  update_platform_down (node, e->platform_objects.outcome);
   if (e->platform_objects.outcome == SS_PLATFORM_ABSENT)
     {
-      /* The history that the watch asked for is gone: list anew. */
-      feed->revision = 0;
-      feed->due_ms = node->now_ms;
+      /* The requested revision has been compacted: list all objects again. */
+      watch->revision = 0;
+      watch->due_ms = node->now_ms;
       return;
     }
   if (e->platform_objects.outcome != SS_PLATFORM_DONE)
     {
-      feed->due_ms = node->now_ms + WATCH_RETRY_MS;
+      watch->due_ms = node->now_ms + WATCH_RETRY_MS;
       return;
     }
-  feed->due_ms = node->now_ms;
+  watch->due_ms = node->now_ms;
   if (e->platform_objects.feed == SS_FEED_VMS)
-    feed->due_ms += VMS_AGAIN_MS;
+    watch->due_ms += VMS_BATCH_MS;
   if (e->platform_objects.feed == SS_FEED_TARGETS)
-    feed->due_ms += TARGETS_AGAIN_MS;
-  feed->complete = feed->complete || e->platform_objects.complete;
+    watch->due_ms += TARGETS_BATCH_MS;
+  watch->complete = watch->complete || e->platform_objects.complete;
   adopted = adopt_all (node, e);
   if (e->platform_objects.complete)
-    adopted = drop_unlisted (node, e) || adopted;
-  if (since <= feed->revision)
-    feed->revision = MAX (feed->revision, e->platform_objects.revision);
+    adopted = delete_unlisted (node, e) || adopted;
+  if (since <= watch->revision)
+    watch->revision = MAX (watch->revision, e->platform_objects.revision);
   node->config.revision = MAX (node->config.revision, lowest_revision (node));
   if (!adopted)
     return;
@@ -150,17 +158,17 @@
     ss_adopt_push_domain (node, since);
 }
 
-/* --- the platform's list of vms --- */
+/* --- the platform's list of VMs --- */
 
 static void
-unlist (SsNode *node, SsMember *member, void *data)
+clear_listed (SsNode *node, SsMember *member, void *data)
 {
   (void) data;
   ss_members_set_listed (&node->members, member, false);
 }
 
 static void
-take_listed (SsNode *node, json_t *item)
+add_listed (SsNode *node, json_t *item)
 {
   const char *vm = json_string_value (json_object_get (item, "name"));
   const char *domain
@@ -177,8 +185,8 @@
   ss_members_set_listed (&node->members, m, strcmp (state, "live") == 0);
 }
 
-/* The list lags: it adds vms to listen for, and lets silent ones be
- * forgotten; who is live is judged by heartbeats.
+/* The list lags behind: it only adds VMs to expect heartbeats from, and allows
+ * silent ones to be forgotten.  Heartbeats determine which VMs are live.
  */
 void
 ss_feeds_vms (SsNode *node, const char *json, uint32_t json_bytes)
@@ -189,10 +197,10 @@
 
   if (!json_is_array (list))
     goto done;
-  ss_peers_visit (node, unlist, NULL);
+  ss_peers_visit (node, clear_listed, NULL);
   json_array_foreach (list, i, item)
   {
-    take_listed (node, item);
+    add_listed (node, item);
   }
   g_clear_pointer (&node->vms_json, g_bytes_unref);
   node->vms_json = g_bytes_new (json, json_bytes);
@@ -205,7 +213,8 @@
 {
   if (!ss_feeds_are_one (node))
     return !node->members.relayed
-           || (!node->ready && node->now_ms - node->started_ms >= UNREADY_MS)
+           || (!node->ready
+               && node->now_ms - node->started_ms >= OWN_WATCH_AFTER_MS)
            || ss_members_is_watcher (&node->members);
   if (!node->ready)
     return true;
@@ -213,13 +222,15 @@
          < RELAYS;
 }
 
-/* A watch may miss changes without a sign: a new one sees them, or that its
- * history is gone.  Routes and targets have bounds on how late that may be.
+/* A watch may miss changes silently.  The next watch delivers them, or reports
+ * that its start revision has been compacted.  The wait is limited for routes
+ * and targets because apply_ms and drain_ms bound how late their changes may
+ * take effect.
  */
 static uint32_t
-watch_wait_ms (const SsNode *node, SsFeed feed)
+watch_wait_ms (const SsNode *node, SsFeed watch)
 {
-  switch (feed)
+  switch (watch)
     {
     case SS_FEED_ROUTES:
       return (uint32_t) node->params.apply_ms * 6 / 10;
@@ -236,27 +247,27 @@
   bool watches = ss_feeds_watches (node);
   SsAction *a;
 
-  /* Every vm lists all objects once. */
+  /* Every VM lists all objects once, even if it does not watch afterwards. */
   for (uint32_t i = 0; i < SS_FEED_COUNT; i++)
     {
-      SsFeedState *feed = &node->feeds[i];
+      SsFeedState *watch = &node->feeds[i];
 
-      if (!(node->params.feeds & (1U << i)) || feed->watching
-          || node->now_ms < feed->due_ms || (feed->complete && !watches))
+      if (!(node->params.feeds & (1U << i)) || watch->watching
+          || node->now_ms < watch->due_ms || (watch->complete && !watches))
         continue;
       if (ss_feeds_are_one (node))
-        feed->revision = node->config.revision;
-      feed->watching = true;
+        watch->revision = node->config.revision;
+      watch->watching = true;
       a = ss_node_push (node, SS_ACTION_PLATFORM_WATCH);
       a->id = i;
-      a->number = feed->revision;
+      a->number = watch->revision;
       a->wait_ms = watch_wait_ms (node, (SsFeed) i);
     }
   if (ss_feeds_are_one (node) && !node->vms_asked
       && node->now_ms >= node->vms_due_ms)
     {
       node->vms_asked = true;
-      node->vms_due_ms = node->now_ms + VMS_MS;
+      node->vms_due_ms = node->now_ms + VMS_INTERVAL_MS;
       ss_node_push (node, SS_ACTION_PLATFORM_VMS);
     }
 }
--- a/src/core/hold.c
+++ b/src/core/hold.c
@@ -2,22 +2,24 @@
 
 #include "core/owner.h"
 
-#define ASK_AGAIN_MS 100
-/* What a target holds is also told by its answers to reads, at no cost: it is
- * polled only where none came in this time.  One server is enough, so the
- * others are polled later.
+#define STATUS_RETRY_MS 100
+/* A target's responses to reads also carry its position, at no extra cost: it
+ * is polled only if no response arrives within this time.  One server is
+ * enough, so the others are polled later.
  */
 #define FIRST_POLL_AFTER_MS 120
 #define OTHERS_POLL_AFTER_MS 300
-#define ROUND_MS 300
-/* Far above a replica's lag and two ways between regions. */
-#define STUCK_MS 400
-/* A position that an answer told this long ago is as good as a new one. */
-#define SEEN_MS 250
+#define ROUND_TIMEOUT_MS 300
+/* Far above a replica's lag plus a round trip between regions. */
+#define STALLED_AFTER_MS 400
+/* The primary's position from a response is used without a new round up to this
+ * age.
+ */
+#define POSITION_MAX_AGE_MS 250
 
 static void
-send_status_ask (SsNode *node, SsTarget *t, uint64_t ask, SsPosition held,
-                 uint32_t poll_after_ms)
+send_status_request (SsNode *node, SsTarget *t, uint64_t request_id,
+                     SsPosition position, uint32_t poll_after_ms)
 {
   const char *owner = ss_node_owner (node, t);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -26,9 +28,9 @@
 
   if (!owner)
     return;
-  ss_position_pack (&p, held);
+  ss_position_pack (&p, position);
   m.target = t->name;
-  m.ask = ask;
+  m.ask = request_id;
   m.held = &p;
   m.poll_after_ms = poll_after_ms;
   e.body_case = SS__PEER__ENVELOPE__BODY_STATUS_ASK;
@@ -39,30 +41,31 @@
 void
 ss_hold_ask_status (SsNode *node, SsTarget *t)
 {
-  send_status_ask (node, t, ++node->next_ask, (SsPosition){ 0, 0 }, 0);
+  send_status_request (node, t, ++node->next_ask, (SsPosition){ 0, 0 }, 0);
 }
 
-/* --- commits that wait for a majority --- */
+/* --- commits that wait for replication to a majority --- */
 
-/* A server whose last entry has the commit's term and stands at it or above
- * holds it: a log of one term has only one content.
+/* Whether T has replicated COMMIT: its last log entry has the commit's term and
+ * an offset at or above the commit's.  Logs do not diverge within one term.
  */
 static bool
-holds (const SsTarget *t, SsPosition commit)
+has_replicated (const SsTarget *t, SsPosition commit)
 {
   return t->state.held.term == commit.term
          && t->state.held.offset >= commit.offset;
 }
 
 static bool
-is_held (const SsGroup *group, const SsOwned *owned, SsPosition commit)
+has_majority (const SsGroup *group, const SsOwned *owned, SsPosition commit)
 {
-  uint32_t holders = 1; /* the primary that committed it */
+  uint32_t replicated_count = 1; /* the primary that committed it */
 
   for (uint32_t i = 0; i < group->server_count; i++)
-    if (group->servers[i] != owned->target && holds (group->servers[i], commit))
-      holders++;
-  return holders >= ss_group_majority (group);
+    if (group->servers[i] != owned->target
+        && has_replicated (group->servers[i], commit))
+      replicated_count++;
+  return replicated_count >= ss_group_majority (group);
 }
 
 static bool
@@ -73,7 +76,7 @@
 }
 
 static void
-ask_holders (SsNode *node, SsOwned *owned, const SsGroup *group)
+request_replica_status (SsNode *node, SsOwned *owned, const SsGroup *group)
 {
   uint32_t poll_after_ms = FIRST_POLL_AFTER_MS;
 
@@ -81,43 +84,43 @@
     {
       SsTarget *t = group->servers[i];
 
-      if (t == owned->target || holds (t, owned->unheld))
+      if (t == owned->target || has_replicated (t, owned->unheld))
         continue;
       if (owned->held_asks[i]
-          && node->now_ms - owned->held_asked_ms[i] < ASK_AGAIN_MS)
+          && node->now_ms - owned->held_asked_ms[i] < STATUS_RETRY_MS)
         continue;
       owned->held_asks[i] = ++node->next_ask;
       owned->held_asked_ms[i] = node->now_ms;
-      send_status_ask (node, t, owned->held_asks[i], owned->unheld,
-                       poll_after_ms);
+      send_status_request (node, t, owned->held_asks[i], owned->unheld,
+                           poll_after_ms);
       poll_after_ms = OTHERS_POLL_AFTER_MS;
     }
 }
 
-/* Whether no later primary can have come about by now. */
+/* Whether no later primary can have taken over yet. */
 static bool
-is_in_force (SsNode *node, const SsGroup *group)
+is_primary_valid (SsNode *node, const SsGroup *group)
 {
   return !node->dialect->platform_promotes || ss_lease_holds (node, group)
          || ss_lease_may_ask_servers (node);
 }
 
-/* Notes whether commits are held at all: where one waits for long, others
- * would, too, until a server has caught up.
+/* Updates whether commits are stalled.  If one commit waits longer than
+ * STALLED_AFTER_MS, new ones would wait as well until a replica has caught up.
  */
 static void
-check_stuck (SsNode *node, SsOwned *owned, const SsGroup *group)
+update_stalled (SsNode *node, SsOwned *owned, const SsGroup *group)
 {
   const SsJob *first = g_queue_peek_head (&owned->waiters);
   bool stuck = owned->stuck;
 
   if (owned->unheld.offset
-      && (is_held (group, owned, owned->unheld)
+      && (has_majority (group, owned, owned->unheld)
           || is_superseded (group, owned, owned->unheld)))
     owned->unheld = (SsPosition){ 0, 0 };
   if (!owned->unheld.offset)
     stuck = false;
-  else if (first && node->now_ms - first->committed_ms >= STUCK_MS)
+  else if (first && node->now_ms - first->committed_ms >= STALLED_AFTER_MS)
     stuck = true;
   if (stuck == owned->stuck)
     return;
@@ -128,7 +131,9 @@
                group->name, owned->unheld.term, owned->unheld.offset);
 }
 
-/* Answers every waiter whose fate is known. */
+/* Answers every waiting commit whose outcome is known or whose deadline has
+ * passed.
+ */
 static void
 check_waiters (SsNode *node, SsOwned *owned, const SsGroup *group)
 {
@@ -137,15 +142,15 @@
   for (GList *l = owned->waiters.head; l; l = next)
     {
       SsJob *job = l->data;
-      bool held
-          = is_held (group, owned, job->commit) && is_in_force (node, group);
+      bool replicated = has_majority (group, owned, job->commit)
+                        && is_primary_valid (node, group);
       bool superseded = is_superseded (group, owned, job->commit);
 
       next = l->next;
-      if (!held && !superseded && node->now_ms < job->item.deadline_ms)
+      if (!replicated && !superseded && node->now_ms < job->item.deadline_ms)
         continue;
       g_queue_delete_link (&owned->waiters, l);
-      if (held)
+      if (replicated)
         ss_job_answer (node, job, SS_VERDICT_RAN, SS_REASON_NONE, 0);
       else
         ss_job_answer (node, job, SS_VERDICT_MAY_HAVE_RUN,
@@ -166,7 +171,7 @@
   if (!group)
     return;
   check_waiters (node, owned, group);
-  ask_holders (node, owned, group);
+  request_replica_status (node, owned, group);
 }
 
 void
@@ -179,8 +184,8 @@
       if (!owned || !owned->unheld.offset)
         continue;
       check_waiters (node, owned, group);
-      check_stuck (node, owned, group);
-      ask_holders (node, owned, group);
+      update_stalled (node, owned, group);
+      request_replica_status (node, owned, group);
     }
 }
 
@@ -191,7 +196,7 @@
 {
   SsRound *r = &owned->round;
   GPtrArray *askers = r->next;
-  bool asks_all;
+  bool polls_all;
 
   r->next = r->askers;
   r->askers = askers;
@@ -199,18 +204,18 @@
   r->running = true;
   r->started_ms = node->now_ms;
   r->ask = ++node->next_ask;
-  r->due_ms = node->now_ms + ROUND_MS;
+  r->due_ms = node->now_ms + ROUND_TIMEOUT_MS;
   r->confirmed = 0;
   r->has_position = false;
   r->term = group->term;
   ss_node_count (node, SS_COUNTER_MARK_ROUNDS);
-  asks_all = !ss_lease_holds (node, group) && ss_lease_may_ask_servers (node);
-  if (!ss_lease_holds (node, group) && !asks_all)
+  polls_all = !ss_lease_holds (node, group) && ss_lease_may_ask_servers (node);
+  if (!ss_lease_holds (node, group) && !polls_all)
     node->lease_due_ms = MIN (node->lease_due_ms, node->now_ms);
   for (uint32_t i = 0; i < group->server_count; i++)
-    if (group->servers[i] == owned->target || asks_all)
-      send_status_ask (node, group->servers[i], r->ask, (SsPosition){ 0, 0 },
-                       0);
+    if (group->servers[i] == owned->target || polls_all)
+      send_status_request (node, group->servers[i], r->ask,
+                           (SsPosition){ 0, 0 }, 0);
 }
 
 static void
@@ -225,9 +230,11 @@
     start_round (node, owned, group);
 }
 
-/* Lets the jobs go that came before the round, or refuses them. */
+/* Queues the jobs that arrived before the round began if it was CONFIRMED, and
+ * refuses them otherwise.
+ */
 static void
-end_unconfirmed (SsNode *node, SsOwned *owned, bool confirmed)
+resolve_unconfirmed (SsNode *node, SsOwned *owned, bool confirmed)
 {
   GList *next;
 
@@ -274,14 +281,17 @@
   owned->seen.position = position;
 }
 
-/* Whether what the primary last answered tells its position well enough. */
+/* Whether the primary's last response gives a position that can stand for a
+ * confirmed one: a lease is held, and the response is recent and of the current
+ * term.
+ */
 static bool
-knows_position (SsNode *node, const SsOwned *owned, const SsGroup *group)
+has_fresh_position (SsNode *node, const SsOwned *owned, const SsGroup *group)
 {
   return ss_dialect_keeps_sessions (node->dialect)
          && ss_lease_holds (node, group)
          && owned->seen.position.term == group->term
-         && node->now_ms - owned->seen.asked_ms <= SEEN_MS;
+         && node->now_ms - owned->seen.asked_ms <= POSITION_MAX_AGE_MS;
 }
 
 bool
@@ -291,7 +301,7 @@
   const SsGroup *group = ss_owned_group (node, owned);
 
   if (!group || ss_group_primary (group) != owned->target
-      || !knows_position (node, owned, group))
+      || !has_fresh_position (node, owned, group))
     return false;
   *position = owned->seen.position;
   *age_ms = (uint32_t) (node->now_ms - owned->seen.asked_ms);
@@ -299,8 +309,8 @@
 }
 
 static void
-send_mark (SsNode *node, const char *vm, const SsGroup *group, uint64_t ask,
-           SsPosition position, uint32_t age_ms)
+send_confirmed_position (SsNode *node, const char *vm, const SsGroup *group,
+                         uint64_t nonce, SsPosition position, uint32_t age_ms)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__MarkReply m = SS__PEER__MARK_REPLY__INIT;
@@ -308,7 +318,7 @@
 
   ss_position_pack (&p, position);
   m.group = group->name;
-  m.nonce = ask;
+  m.nonce = nonce;
   m.mark = &p;
   m.age_ms = age_ms;
   e.body_case = SS__PEER__ENVELOPE__BODY_MARK_REPLY;
@@ -323,8 +333,8 @@
 
   for (guint i = 0; i < r->askers->len; i++)
     {
-      const SsAsk *ask = g_ptr_array_index (r->askers, i);
-      guint count = g_strv_length (ask->identities);
+      const SsAsk *request = g_ptr_array_index (r->askers, i);
+      guint count = g_strv_length (request->identities);
       SsEnvelope e = SS__PEER__ENVELOPE__INIT;
       Ss__Peer__MarkReply m = SS__PEER__MARK_REPLY__INIT;
       Ss__Peer__Position *floors = g_new (Ss__Peer__Position, count + 1);
@@ -333,7 +343,7 @@
 
       ss_position_pack (&p, r->position);
       m.group = group->name;
-      m.nonce = ask->ask;
+      m.nonce = request->ask;
       m.mark = &p;
       e.body_case = SS__PEER__ENVELOPE__BODY_MARK_REPLY;
       e.mark_reply = &m;
@@ -341,12 +351,13 @@
         {
           ss_position_pack (&floors[j],
                             ss_writers_floor (&owned->writers,
-                                              ask->identities[j], r->position));
+                                              request->identities[j],
+                                              r->position));
           list[j] = &floors[j];
         }
       m.floors = list;
       m.n_floors = count;
-      ss_node_send (node, ask->vm, &e);
+      ss_node_send (node, request->vm, &e);
       g_free (floors);
       g_free (list);
     }
@@ -368,21 +379,22 @@
   SsGroup *group = ss_config_group (&node->config, m->group);
   SsTarget *primary = group ? ss_group_primary (group) : NULL;
   SsOwned *owned = primary ? ss_owner_find (node, primary->name) : NULL;
-  SsAsk *ask;
+  SsAsk *request;
 
   if (!owned || !owned->active)
     return;
-  if (knows_position (node, owned, group))
+  if (has_fresh_position (node, owned, group))
     {
-      send_mark (node, from, group, m->nonce, owned->seen.position,
-                 (uint32_t) (node->now_ms - owned->seen.asked_ms));
+      send_confirmed_position (
+          node, from, group, m->nonce, owned->seen.position,
+          (uint32_t) (node->now_ms - owned->seen.asked_ms));
       return;
     }
-  ask = g_new0 (SsAsk, 1);
-  ask->vm = g_strdup (from);
-  ask->ask = m->nonce;
-  ask->identities = copy_identities (m);
-  g_ptr_array_add (owned->round.next, ask);
+  request = g_new0 (SsAsk, 1);
+  request->vm = g_strdup (from);
+  request->ask = m->nonce;
+  request->identities = copy_identities (m);
+  g_ptr_array_add (owned->round.next, request);
   if (!owned->round.running)
     start_round (node, owned, group);
 }
@@ -393,7 +405,7 @@
   return (uint32_t) __builtin_popcount (bits);
 }
 
-/* Ends the round where the primary is confirmed. */
+/* Ends the round if the primary is confirmed. */
 static void
 check_round (SsNode *node, SsOwned *owned, const SsGroup *group)
 {
@@ -404,15 +416,16 @@
   if (!r->has_position || (!by_servers && !ss_lease_holds (node, group)))
     return;
   answer_round (node, owned, group);
-  end_unconfirmed (node, owned, true);
+  resolve_unconfirmed (node, owned, true);
   end_round (node, owned, group);
 }
 
-/* Every answer comes from a poll begun after the round was: where a majority
- * shows no higher term, no later primary had acknowledged anything by then.
+/* Every response comes from a poll that began after the round did.  If no
+ * server of a majority reports a higher term, no later primary had acknowledged
+ * anything by then.
  */
 static void
-take_round_answer (SsNode *node, SsOwned *owned, const SsGroup *group,
+on_round_response (SsNode *node, SsOwned *owned, const SsGroup *group,
                    uint32_t server, const SsServerState *state)
 {
   SsRound *r = &owned->round;
@@ -421,7 +434,7 @@
     return;
   if (state->shown_term > r->term || group->term != r->term)
     {
-      end_unconfirmed (node, owned, false);
+      resolve_unconfirmed (node, owned, false);
       end_round (node, owned, group);
       return;
     }
@@ -464,7 +477,7 @@
           if (owned->held_asks[j] == ask)
             owned->held_asks[j] = 0;
           if (owned->round.running && owned->round.ask == ask)
-            take_round_answer (node, owned, group, j, state);
+            on_round_response (node, owned, group, j, state);
         }
     }
 }
@@ -479,11 +492,11 @@
   if (owned->unheld.offset)
     {
       check_waiters (node, owned, group);
-      check_stuck (node, owned, group);
-      ask_holders (node, owned, group);
+      update_stalled (node, owned, group);
+      request_replica_status (node, owned, group);
     }
   if (!owned->round.running || node->now_ms < owned->round.due_ms)
     return;
-  end_unconfirmed (node, owned, false);
+  resolve_unconfirmed (node, owned, false);
   end_round (node, owned, group);
 }
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -410,29 +410,38 @@
 void ss_outcome_result (SsNode *node, uint64_t connection,
                         const SsTargetResult *result);
 
-/* --- hold.c: a commit is answered once a majority holds it --- */
+/* --- hold.c: commits replicated to a majority, confirmed positions --- */
 
-/* ss_hold_ask_status: has T's owner report a poll made after this. */
+/* ss_hold_ask_status: requests T's state from its owner, from a poll that
+ * begins after the request.
+ */
 void ss_hold_ask_status (SsNode *node, SsTarget *t);
-/* ss_hold_leased: a lease on GROUP's primary came. */
+/* ss_hold_leased: called when a lease on GROUP's primary is obtained. */
 void ss_hold_leased (SsNode *node, SsGroup *group);
-/* ss_hold_confirm: takes over JOB until the primary is confirmed. */
+/* ss_hold_confirm: queues JOB once the primary is confirmed, or refuses it;
+ * takes ownership of JOB.
+ */
 void ss_hold_confirm (SsNode *node, SsJob *job);
-/* ss_hold_position: the primary's position, where it is known well enough;
- * *AGE_MS ago the primary was asked.
+/* ss_hold_position: sets *POSITION to the primary's position from its last
+ * response, and *AGE_MS to the age of that request in milliseconds.  Returns
+ * false if the response can't stand for a confirmed position.
  */
 bool ss_hold_position (SsNode *node, SsOwned *owned, SsPosition *position,
                        uint32_t *age_ms);
-/* ss_hold_note: the primary answered at POSITION what was sent at SENT_MS. */
+/* ss_hold_note: records POSITION, reported in the primary's response to a
+ * statement that was sent at SENT_MS.
+ */
 void ss_hold_note (SsNode *node, SsOwned *owned, int64_t sent_ms,
                    SsPosition position);
-/* ss_hold_wait: takes over JOB, whose commit stands at POSITION. */
+/* ss_hold_wait: answers JOB once its commit is replicated to a majority, is
+ * superseded by a later term, or JOB's deadline passes; takes ownership of JOB.
+ */
 void ss_hold_wait (SsNode *node, SsJob *job);
 void ss_hold_check (SsNode *node, SsGroup *group);
 void ss_hold_tick (SsNode *node, SsOwned *owned);
 void ss_hold_round_ask (SsNode *node, const char *from,
                         const Ss__Peer__MarkAsk *ask);
-/* ss_hold_report: an answer to an ask of this vm. */
+/* ss_hold_report: handles the response to this VM's status request ASK. */
 void ss_hold_report (SsNode *node, SsTarget *target, uint64_t ask,
                      const SsServerState *state);
 
@@ -500,58 +509,67 @@
 
 void ss_spread_tick (SsNode *node);
 void ss_spread_heartbeat (SsNode *node, const Ss__Peer__Heartbeat *beat);
+/* ss_spread_beat_now: sends a heartbeat at once. */
 void ss_spread_beat_now (SsNode *node);
+/* ss_spread_add_member: adds VM or updates its address. */
 SsMember *ss_spread_add_member (SsNode *node, const char *vm,
                                 const char *failure_domain, const char *ip,
                                 uint16_t port);
 
-/* --- feeds.c: what the platform tells --- */
+/* --- feeds.c: watches on the platform --- */
 
-/* ss_feeds_objects: the answer to a watch, as EVENT has it. */
+/* ss_feeds_objects: handles the response to a watch or list request. */
 void ss_feeds_objects (SsNode *node, const SsEvent *event);
+/* ss_feeds_vms: handles the platform's list of VMs, a JSON array. */
 void ss_feeds_vms (SsNode *node, const char *json, uint32_t json_bytes);
-/* ss_feeds_watches: whether this vm watches the platform itself. */
+/* ss_feeds_watches: whether this VM watches the platform itself. */
 bool ss_feeds_watches (SsNode *node);
 
-/* --- adopt.c: configuration between vms --- */
+/* --- adopt.c: configuration exchange between VMs --- */
 
 void ss_adopt_pull (SsNode *node, const char *from,
                     const Ss__Peer__ConfigPull *pull);
 void ss_adopt_push (SsNode *node, const char *from,
                     const Ss__Peer__ConfigPush *push);
-/* ss_adopt_one: takes one object and passes it on to the peers. */
+/* ss_adopt_one: adopts OBJECT and forwards it to all peers. */
 void ss_adopt_one (SsNode *node, const SsObject *object);
-/* ss_adopt_pull_all: asks VM for all objects that it holds. */
+/* ss_adopt_pull_all: requests all objects that VM stores. */
 void ss_adopt_pull_all (SsNode *node, const char *vm);
 
-/* --- directory.c: the vms as objects of the platform --- */
+/* --- directory.c: the VM directory at the platform --- */
 
 void ss_directory_tick (SsNode *node);
-/* ss_directory_take: OBJECT of a vm came into force. */
+/* ss_directory_take: applies OBJECT, an adopted object vm/NAME. */
 void ss_directory_take (SsNode *node, const SsObject *object);
-/* ss_directory_object: how a write of a vm's object ended. */
+/* ss_directory_object: handles the outcome of a write of a VM's object. */
 void ss_directory_object (SsNode *node, SsPlatformOutcome outcome,
                           const SsObject *object);
-/* ss_directory_has_holder: whether another vm's object names a lease of GROUP,
- * beside the vms that RELEASED has.
+/* ss_directory_has_holder: whether the object of another VM that is not in
+ * RELEASED lists a lease on GROUP.
  */
 bool ss_directory_has_holder (const SsNode *node, const char *group,
                               GHashTable *released);
-/* ss_directory_leave: this vm stops. */
+/* ss_directory_leave: deletes this VM's object, on shutdown. */
 void ss_directory_leave (SsNode *node);
 
-/* ss_node_begin_stop: begins the planned stop of this vm. */
+/* ss_node_begin_stop: begins the graceful shutdown of this VM. */
 void ss_node_begin_stop (SsNode *node);
 
-/* --- operate.c: operators' questions and orders --- */
+/* --- operate.c and show.c: operator commands --- */
 
 void ss_operate_init (SsNode *node);
 void ss_operate_finish (SsNode *node);
+/* ss_operate_command: runs TEXT as operator request ID; refuses commands that
+ * change anything unless MAY_CHANGE.
+ */
 void ss_operate_command (SsNode *node, uint64_t id, const char *text,
                          bool may_change);
+/* ss_operate_object: handles the outcome of platform call CALL. */
 void ss_operate_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
                         const SsObject *object);
-/* ss_operate_promoted: how the promotion ordered as CALL ended. */
+/* ss_operate_promoted: answers the operator command CALL, whose promotion has
+ * ended.
+ */
 void ss_operate_promoted (SsNode *node, uint64_t call, SsVerdict verdict,
                           const char *message, int64_t version);
 void ss_show_rows_ask (SsNode *node, const char *from,
--- a/src/core/operate.c
+++ b/src/core/operate.c
@@ -119,7 +119,7 @@
   a->name = g_strdup (o->key);
 }
 
-/* The object under KEY as JSON, or NULL. */
+/* Returns the object under KEY as JSON, or NULL; sets *VERSION. */
 static json_t *
 load_object (SsNode *node, const char *key, int64_t *version)
 {
@@ -134,7 +134,9 @@
   return json_loadb (text, bytes, 0, NULL);
 }
 
-/* Sends JSON (taken) as the new value of KEY, if it would be adopted. */
+/* Writes JSON as the new value of KEY if it is valid.  Takes over the reference
+ * to JSON.
+ */
 static void
 update (SsNode *node, uint64_t id, SsCommand *command, const char *key,
         int64_t version, json_t *json)
@@ -168,7 +170,7 @@
 }
 
 static void
-mark_target (SsNode *node, uint64_t id, SsCommand *command, bool draining)
+set_draining (SsNode *node, uint64_t id, SsCommand *command, bool draining)
 {
   char *key = g_strdup_printf ("target/%s", command->name);
   int64_t version = 0;
@@ -184,7 +186,9 @@
   g_free (key);
 }
 
-/* Sets "kind.KIND.staleness_ms" or a plain member. */
+/* Sets "kind.KIND.FIELD" or a top-level member.  Returns NULL or an error
+ * message that the caller frees.
+ */
 static char *
 set_member (json_t *json, const char *key, json_t *value)
 {
@@ -244,7 +248,7 @@
 }
 
 static bool
-is_ours (const SsOperation *o, const SsObject *object)
+is_own_write (const SsOperation *o, const SsObject *object)
 {
   json_t *json = json_loadb (object->value, object->value_bytes, 0, NULL);
   const char *operation
@@ -261,14 +265,14 @@
   char *message;
 
   ss_adopt_one (node, object);
-  if (is_ours (o, object))
+  if (is_own_write (o, object))
     {
       ss_operation_end (node, o, SS_VERDICT_RAN, "accepted", object->version);
       return;
     }
   if (object->version == o->version)
     {
-      /* It may still be under way to the platform. */
+      /* The write may still reach the platform. */
       ss_operation_end (node, o, SS_VERDICT_MAY_HAVE_RUN,
                         "the platform does not show the change", o->version);
       return;
@@ -307,7 +311,7 @@
 {
   const SsMember *m = ss_members_find (&node->members, command->name);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
-  Ss__Peer__StopAsk ask = SS__PEER__STOP_ASK__INIT;
+  Ss__Peer__StopAsk request = SS__PEER__STOP_ASK__INIT;
   SsOperation *o;
 
   if (!m || !m->live)
@@ -316,9 +320,9 @@
       return;
     }
   o = ss_operation_new (node, id, SS_OPERATION_STOP, command, STOP_BOUND_MS);
-  ask.call = o->call;
+  request.call = o->call;
   e.body_case = SS__PEER__ENVELOPE__BODY_STOP_ASK;
-  e.stop_ask = &ask;
+  e.stop_ask = &request;
   ss_node_send (node, m->vm, &e);
 }
 
@@ -345,10 +349,10 @@
     ss_operation_end (node, o, SS_VERDICT_RAN, "the vm is stopping", 0);
 }
 
-/* The order was meant for a state that is no longer in force. */
+/* Refuses a promotion whose "if term" is not the current term. */
 static void
-reply_other_term (SsNode *node, uint64_t id, const SsCommand *command,
-                  const SsGroup *group)
+refuse_stale_term (SsNode *node, uint64_t id, const SsCommand *command,
+                   const SsGroup *group)
 {
   char *message = g_strdup_printf (
       "term %" G_GUINT64_FORMAT
@@ -374,10 +378,10 @@
     reply_message (node, id, SS_VERDICT_NOT_RUN, "no such server in this group",
                    0);
   else if (command->if_term && command->if_term != group->term)
-    reply_other_term (node, id, command, group);
+    refuse_stale_term (node, id, command, group);
   else if (to && strcmp (to->name, group->primary) == 0)
     reply_message (node, id, SS_VERDICT_NOT_RUN,
-                   "this server is the primary already", group->version);
+                   "this server is already the primary", group->version);
   else
     {
       o = ss_operation_new (node, id, SS_OPERATION_PROMOTE, command, INT32_MAX);
@@ -407,7 +411,7 @@
       break;
     case SS_COMMAND_DRAIN:
     case SS_COMMAND_UNDRAIN:
-      mark_target (node, id, command, command->kind == SS_COMMAND_DRAIN);
+      set_draining (node, id, command, command->kind == SS_COMMAND_DRAIN);
       break;
     case SS_COMMAND_STOP:
       stop_vm (node, id, command);
@@ -437,7 +441,7 @@
   else if (!may_change && command.kind != SS_COMMAND_SHOW
            && command.kind != SS_COMMAND_HELP)
     reply_message (node, id, SS_VERDICT_NOT_RUN,
-                   "changes need the bearer token", 0);
+                   "changes require the bearer token", 0);
   else
     run_command (node, id, &command);
   ss_command_finish (&command);
--- a/src/core/operation.h
+++ b/src/core/operation.h
@@ -1,4 +1,4 @@
-/* operation: an operator's question or order that is under way. */
+/* operation: a pending operator command. */
 #ifndef SS_OPERATION_H
 #define SS_OPERATION_H
 
@@ -8,8 +8,8 @@
 typedef enum
 {
   SS_OPERATION_ROWS,
-  SS_OPERATION_UPDATE,      /* the platform was asked to update */
-  SS_OPERATION_UPDATE_READ, /* its answer was lost: the object is read back */
+  SS_OPERATION_UPDATE,      /* a write to the platform is pending */
+  SS_OPERATION_UPDATE_READ, /* its outcome is unknown: reads the object back */
   SS_OPERATION_PROMOTE,
   SS_OPERATION_STOP
 } SsOperationKind;
@@ -21,36 +21,42 @@
   SsOperationKind kind;
   SsCommand command;
   json_t *rows;
-  GHashTable *silent; /* vms that did not answer yet */
+  GHashTable *silent; /* VMs that have not answered yet */
   char *key;
   char *json;
   char operation[96];
-  int64_t version; /* on which the update is based */
+  int64_t version; /* that the update is based on */
   int64_t due_ms;
   int64_t asked_ms;
 } SsOperation;
 
 /* --- operate.c --- */
 
-/* ss_operation_new: takes COMMAND; it ends BOUND_MS from now at the latest. */
+/* ss_operation_new: creates a pending operation that times out in BOUND_MS.
+ * Takes over the contents of COMMAND.
+ */
 SsOperation *ss_operation_new (SsNode *node, uint64_t id, SsOperationKind kind,
                                SsCommand *command, int64_t bound_ms);
-/* ss_operation_find: NULL where it ended already. */
+/* ss_operation_find: returns NULL if the operation has ended. */
 SsOperation *ss_operation_find (SsNode *node, uint64_t call);
-/* ss_operation_reply: answers operator request ID with BODY, which it takes. */
+/* ss_operation_reply: answers operator request ID with VERDICT and BODY; takes
+ * over the reference to BODY.
+ */
 void ss_operation_reply (SsNode *node, uint64_t id, SsVerdict verdict,
                          json_t *body);
-/* ss_operation_end: answers OPERATION with MESSAGE, and VERSION where it is not
- * 0; frees it.
+/* ss_operation_end: answers OPERATION with MESSAGE, and with VERSION unless it
+ * is 0; frees OPERATION.
  */
 void ss_operation_end (SsNode *node, SsOperation *operation, SsVerdict verdict,
                        const char *message, int64_t version);
 
 /* --- show.c --- */
 
-/* ss_show: answers COMMAND, which it takes, with the rows of all vms. */
+/* ss_show: answers COMMAND with the rows of all VMs; takes over the contents
+ * of COMMAND.
+ */
 void ss_show (SsNode *node, uint64_t id, SsCommand *command);
-/* ss_show_end: answers with the rows that are there. */
+/* ss_show_end: answers with the rows received so far. */
 void ss_show_end (SsNode *node, SsOperation *operation);
 
 #endif
--- a/src/core/show.c
+++ b/src/core/show.c
@@ -1,4 +1,4 @@
-/* show: operators' questions; each vm tells the rows that it knows. */
+/* show: the "show" command; collects a table's rows from all VMs. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "core/operation.h"
 #include "core/tables.h"
 
-/* Vms that did not answer by then are named as silent. */
+/* VMs that do not answer within this time are listed in silent_vms. */
 #define ROWS_BOUND_MS 600
 
 void
@@ -38,24 +38,24 @@
 {
   SsNode *node;
   SsOperation *operation;
-} Ask;
+} RowsRequest;
 
 static gboolean
-ask_one (gpointer key, gpointer value, gpointer data)
+request_rows (gpointer key, gpointer value, gpointer data)
 {
-  Ask *ask = data;
+  RowsRequest *request = data;
   const SsMember *m = value;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__RowsAsk rows = SS__PEER__ROWS_ASK__INIT;
 
-  if (strcmp (key, ask->node->params.vm) == 0 || (!m->live && !m->listed))
+  if (strcmp (key, request->node->params.vm) == 0 || (!m->live && !m->listed))
     return FALSE;
-  g_hash_table_add (ask->operation->silent, g_strdup (key));
-  rows.call = ask->operation->call;
-  rows.table = (char *) ss_table_name (ask->operation->command.table);
+  g_hash_table_add (request->operation->silent, g_strdup (key));
+  rows.call = request->operation->call;
+  rows.table = (char *) ss_table_name (request->operation->command.table);
   e.body_case = SS__PEER__ENVELOPE__BODY_ROWS_ASK;
   e.rows_ask = &rows;
-  ss_node_send (ask->node, key, &e);
+  ss_node_send (request->node, key, &e);
   return FALSE;
 }
 
@@ -64,12 +64,12 @@
 {
   SsOperation *o
       = ss_operation_new (node, id, SS_OPERATION_ROWS, command, ROWS_BOUND_MS);
-  Ask ask = { node, o };
+  RowsRequest request = { node, o };
 
   json_decref (o->rows);
   o->rows = ss_tables_rows (node, o->command.table);
   if (ss_tables_is_shared (o->command.table))
-    g_tree_foreach (node->members.by_name, ask_one, &ask);
+    g_tree_foreach (node->members.by_name, request_rows, &request);
   if (g_hash_table_size (o->silent) == 0)
     ss_show_end (node, o);
 }
--- a/src/core/spread.c
+++ b/src/core/spread.c
@@ -3,13 +3,18 @@
 #include "core/spread.h"
 #include "kernel/names.h"
 
-#define HEARD_MS 600
-#define SUBSCRIBE_MS 1000
+#define HEARD_WITHIN_MS 600
+#define SUBSCRIBE_INTERVAL_MS 1000
 #define READY_AFTER_MS 500
-/* With all objects of the platform only the others' first heartbeats lack. */
-#define READY_SOON_MS 150
+/* Once all platform objects are listed, only the peers' first heartbeats are
+ * missing.
+ */
+#define READY_AFTER_LISTING_MS 150
+/* A VM whose rank as a group's coordinator is below this subscribes to the
+ * group even if it neither uses it nor owns a server of it.
+ */
 #define COORDINATOR_RANKS 3
-/* Marks a peer known only by its address. */
+/* Name prefix of a peer known only by its address. */
 #define SEED_PREFIX "@"
 
 bool
@@ -23,12 +28,12 @@
   SsNode *node;
   SsPeerVisitor visit;
   void *data;
-} Visit;
+} VisitContext;
 
 static gboolean
-visit_one (gpointer key, gpointer value, gpointer data)
+visit_peer (gpointer key, gpointer value, gpointer data)
 {
-  Visit *v = data;
+  VisitContext *v = data;
 
   if (!ss_peers_is_self (v->node, key))
     v->visit (v->node, value, v->data);
@@ -38,9 +43,9 @@
 void
 ss_peers_visit (SsNode *node, SsPeerVisitor visit, void *data)
 {
-  Visit v = { node, visit, data };
+  VisitContext v = { node, visit, data };
 
-  g_tree_foreach (node->members.by_name, visit_one, &v);
+  g_tree_foreach (node->members.by_name, visit_peer, &v);
 }
 
 /* --- peers' addresses --- */
@@ -79,7 +84,7 @@
     (*(uint32_t *) data)++;
 }
 
-/* Whether there are too many vms for each to hear all others. */
+/* Whether there are too many VMs for a full mesh of heartbeats. */
 static bool
 is_relayed (SsNode *node)
 {
@@ -96,12 +101,12 @@
 static void
 collect_heard (SsNode *node, SsMember *member, void *data)
 {
-  if (node->now_ms - member->heard_ms < HEARD_MS)
+  if (node->now_ms - member->heard_ms < HEARD_WITHIN_MS)
     g_ptr_array_add (data, member->vm);
 }
 
 static void
-send_beat (SsNode *node, SsMember *member, void *data)
+send_heartbeat (SsNode *node, SsMember *member, void *data)
 {
   ss_node_send (node, member->vm, data);
 }
@@ -135,36 +140,38 @@
 ss_spread_beat_now (SsNode *node)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
-  Ss__Peer__Heartbeat beat = SS__PEER__HEARTBEAT__INIT;
+  Ss__Peer__Heartbeat heartbeat = SS__PEER__HEARTBEAT__INIT;
   GPtrArray *heard = g_ptr_array_new ();
 
   node->heartbeat_due_ms = node->now_ms + node->params.pace.heartbeat_ms;
   if (!node->members.relayed)
     ss_peers_visit (node, collect_heard, heard);
-  beat.vm = (char *) node->params.vm;
-  beat.failure_domain = (char *) node->params.failure_domain;
-  beat.ip = (char *) node->params.ip;
-  beat.peer_port = node->params.peer_port;
-  beat.leaving = node->stopping;
-  beat.revision = node->config.revision;
-  beat.heard = (char **) heard->pdata;
-  beat.n_heard = heard->len;
-  beat.ready = node->ready;
-  beat.platform_up = ss_feeds_watches (node) && !node->platform_down;
+  heartbeat.vm = (char *) node->params.vm;
+  heartbeat.failure_domain = (char *) node->params.failure_domain;
+  heartbeat.ip = (char *) node->params.ip;
+  heartbeat.peer_port = node->params.peer_port;
+  heartbeat.leaving = node->stopping;
+  heartbeat.revision = node->config.revision;
+  heartbeat.heard = (char **) heard->pdata;
+  heartbeat.n_heard = heard->len;
+  heartbeat.ready = node->ready;
+  heartbeat.platform_up = ss_feeds_watches (node) && !node->platform_down;
   e.body_case = SS__PEER__ENVELOPE__BODY_HEARTBEAT;
-  e.heartbeat = &beat;
+  e.heartbeat = &heartbeat;
   if (node->members.relayed)
     ss_relay_beat (node, &e);
   else
-    ss_peers_visit (node, send_beat, &e);
+    ss_peers_visit (node, send_heartbeat, &e);
   if (!node->ready && heard->len == 0)
     send_to_seeds (node, &e);
   g_ptr_array_free (heard, TRUE);
 }
 
-/* A vm with watches of its own asks its peers only while these don't tell. */
+/* A VM with its own watches pulls from peers only while the watches do not
+ * deliver.
+ */
 static bool
-needs_peers (const SsNode *node)
+pulls_from_peers (const SsNode *node)
 {
   return ss_feeds_are_one (node) || node->platform_down || !node->ready;
 }
@@ -185,7 +192,7 @@
   if (node->members.relayed
       && strcmp (m->failure_domain, node->params.failure_domain) == 0)
     ss_relay_answer (node, beat->vm, beat->digest);
-  if (beat->revision > node->config.revision && needs_peers (node))
+  if (beat->revision > node->config.revision && pulls_from_peers (node))
     ss_adopt_pull_since (node, beat->vm);
 }
 
@@ -259,7 +266,7 @@
       = { node, g_tree_new_full (ss_names_compare, NULL, NULL,
                                  (GDestroyNotify) g_ptr_array_unref) };
 
-  node->subscribe_due_ms = node->now_ms + SUBSCRIBE_MS;
+  node->subscribe_due_ms = node->now_ms + SUBSCRIBE_INTERVAL_MS;
   node->subscribed_generation = node->members.generation;
   g_tree_foreach (node->config.groups, collect_group, &s);
   g_tree_foreach (s.by_owner, send_subscription, node);
@@ -268,7 +275,9 @@
 
 /* --- ticks --- */
 
-/* What a dead vm still holds for callers gets its answer now. */
+/* Ends the requests that were sent to a failed VM, and the sessions that it had
+ * here.
+ */
 static void
 on_member_changed (void *data, const SsMember *member)
 {
@@ -285,7 +294,7 @@
 check_ready (SsNode *node)
 {
   int64_t after_ms = ss_feeds_are_complete (node) && !ss_feeds_are_one (node)
-                         ? READY_SOON_MS
+                         ? READY_AFTER_LISTING_MS
                          : READY_AFTER_MS;
 
   if (node->ready || node->now_ms - node->started_ms < after_ms
--- a/src/core/tables.c
+++ b/src/core/tables.c
@@ -8,10 +8,10 @@
 {
   SsNode *node;
   json_t *rows;
-} Rows;
+} RowsContext;
 
 static void
-add_row (Rows *r, json_t *row)
+add_row (RowsContext *r, json_t *row)
 {
   json_array_append_new (r->rows, row);
 }
@@ -26,7 +26,7 @@
 static gboolean
 add_service (gpointer key, gpointer value, gpointer data)
 {
-  Rows *r = data;
+  RowsContext *r = data;
   const SsService *s = value;
   const SsGroup *group = ss_config_group (&r->node->config, s->group);
   GString *kinds = g_string_new (NULL);
@@ -46,11 +46,11 @@
   return FALSE;
 }
 
-/* How far a server's visible position is behind its primary's, where both
- * are known; -1 where not.
+/* Returns the replication lag of T in log entries: the primary's last entry
+ * minus the last that T has applied.  Returns -1 if either is unknown.
  */
 static json_int_t
-lag_of (SsNode *node, const SsTarget *t)
+replication_lag (SsNode *node, const SsTarget *t)
 {
   const SsGroup *group = ss_config_group (&node->config, t->group);
   const SsTarget *primary = group ? ss_group_primary (group) : NULL;
@@ -77,8 +77,8 @@
       "owner_vm", owner ? owner : "", "reachable", s->reachable, "role",
       ss_server_role_text (s->role), "term", (json_int_t) s->shown_term, "held",
       position_text (s->held, held), "applied",
-      position_text (s->applied, applied), "lag_entries", lag_of (node, t),
-      "silence_ms",
+      position_text (s->applied, applied), "lag_entries",
+      replication_lag (node, t), "silence_ms",
       (json_int_t) (s->role == SS_SERVER_REPLICA ? s->silence_ms : 0),
       "connections", owned ? (int) owned->connections->len : 0,
       "max_connections", (int) t->max_connections, "queued",
@@ -91,7 +91,7 @@
 static gboolean
 add_owned_target (gpointer key, gpointer value, gpointer data)
 {
-  Rows *r = data;
+  RowsContext *r = data;
 
   (void) key;
   if (ss_node_is_owner (r->node, value))
@@ -102,7 +102,7 @@
 static gboolean
 add_group (gpointer key, gpointer value, gpointer data)
 {
-  Rows *r = data;
+  RowsContext *r = data;
   const SsGroup *g = value;
   SsPromotion *p = ss_promote_get (r->node, g->name);
   uint32_t reachable = 0;
@@ -121,7 +121,7 @@
 }
 
 static void
-add_vm (Rows *r)
+add_vm (RowsContext *r)
 {
   SsNode *n = r->node;
 
@@ -137,7 +137,7 @@
 }
 
 static void
-add_sessions (Rows *r)
+add_sessions (RowsContext *r)
 {
   GHashTableIter iter;
   gpointer value;
@@ -177,7 +177,7 @@
 }
 
 static void
-add_counters (Rows *r)
+add_counters (RowsContext *r)
 {
   for (uint32_t i = 0; i < SS_COUNTER_COUNT; i++)
     add_row (r, json_pack ("{s:s, s:s, s:I}", "vm", r->node->params.vm, "name",
@@ -188,7 +188,7 @@
 json_t *
 ss_tables_rows (SsNode *node, SsTable table)
 {
-  Rows r = { node, json_array () };
+  RowsContext r = { node, json_array () };
 
   switch (table)
     {
--- a/src/core/tables.h
+++ b/src/core/tables.h
@@ -1,4 +1,4 @@
-/* tables: what one vm can tell operators, as rows of JSON. */
+/* tables: the tables of the "show" command, as rows of JSON. */
 #ifndef SS_TABLES_H
 #define SS_TABLES_H
 
@@ -7,13 +7,13 @@
 #include "core/command.h"
 #include "core/node.h"
 
-/* ss_tables_rows: the rows of TABLE that this vm answers for: its own
+/* ss_tables_rows: returns the rows of TABLE that this VM reports: its own
  * sessions, counters and state, the targets that it owns, and the
- * configuration in force.
+ * configuration in force.  The caller releases the array.
  */
 json_t *ss_tables_rows (SsNode *node, SsTable table);
 
-/* ss_tables_is_shared: whether every vm has rows of its own in TABLE. */
+/* ss_tables_is_shared: whether TABLE combines rows of all VMs. */
 bool ss_tables_is_shared (SsTable table);
 
 #endif
