--- a/src/core/feeds.c
+++ b/src/core/feeds.c
@@ -244,7 +244,7 @@
 void
 ss_feeds_tick (SsNode *node)
 {
-  bool watches = ss_feeds_watches (node);
+  bool is_watching = ss_feeds_watches (node);
   SsAction *a;
 
   /* Every VM lists all objects once, even if it does not watch afterwards. */
@@ -253,7 +253,7 @@
       SsFeedState *watch = &node->feeds[i];
 
       if (!(node->params.feeds & (1U << i)) || watch->watching
-          || node->now_ms < watch->due_ms || (watch->complete && !watches))
+          || node->now_ms < watch->due_ms || (watch->complete && !is_watching))
         continue;
       if (ss_feeds_are_one (node))
         watch->revision = node->config.revision;
