--- a/src/core/config.h
+++ b/src/core/config.h
@@ -39,9 +39,9 @@
   bool reachable;
   bool refused; /* its address refuses connections */
   SsServerRole role;
-  uint64_t shown_term;
-  SsPosition held;
-  SsPosition applied;
+  uint64_t shown_term; /* the highest term it was shown */
+  SsPosition held;     /* last entry in its log */
+  SsPosition applied;  /* last entry visible to reads */
   uint32_t silence_ms; /* since it last heard from its primary */
   uint64_t follow_term;
   SsHistory history;
