--- a/src/core/operate.c
+++ b/src/core/admin.c
@@ -22,14 +22,14 @@
 }
 
 void
-ss_operate_init (SsNode *node)
+ss_admin_init (SsNode *node)
 {
   node->operations = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                             operation_free);
 }
 
 void
-ss_operate_finish (SsNode *node)
+ss_admin_finish (SsNode *node)
 {
   g_hash_table_destroy (node->operations);
 }
@@ -264,7 +264,7 @@
 {
   char *message;
 
-  ss_adopt_one (node, object);
+  ss_config_sync_publish (node, object);
   if (is_own_write (o, object))
     {
       ss_operation_end (node, o, SS_VERDICT_RAN, "accepted", object->version);
@@ -285,8 +285,8 @@
 }
 
 void
-ss_operate_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
-                   const SsObject *object)
+ss_admin_handle_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
+                        const SsObject *object)
 {
   SsOperation *o = ss_operation_find (node, call);
 
@@ -327,13 +327,13 @@
 }
 
 void
-ss_operate_stop_ask (SsNode *node, const char *from,
-                     const Ss__Peer__StopAsk *ask)
+ss_admin_handle_stop_ask (SsNode *node, const char *from,
+                          const Ss__Peer__StopAsk *ask)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__StopReply reply = SS__PEER__STOP_REPLY__INIT;
 
-  ss_node_begin_stop (node);
+  ss_node_begin_shutdown (node);
   reply.call = ask->call;
   e.body_case = SS__PEER__ENVELOPE__BODY_STOP_REPLY;
   e.stop_reply = &reply;
@@ -341,7 +341,7 @@
 }
 
 void
-ss_operate_stop_reply (SsNode *node, const Ss__Peer__StopReply *reply)
+ss_admin_handle_stop_reply (SsNode *node, const Ss__Peer__StopReply *reply)
 {
   SsOperation *o = ss_operation_find (node, reply->call);
 
@@ -385,13 +385,13 @@
   else
     {
       o = ss_operation_new (node, id, SS_OPERATION_PROMOTE, command, INT32_MAX);
-      ss_promote_order (node, group->name, o->command.to, o->call);
+      ss_promote_request (node, group->name, o->command.to, o->call);
     }
 }
 
 void
-ss_operate_promoted (SsNode *node, uint64_t call, SsVerdict verdict,
-                     const char *message, int64_t version)
+ss_admin_handle_promotion (SsNode *node, uint64_t call, SsVerdict verdict,
+                           const char *message, int64_t version)
 {
   SsOperation *o = ss_operation_find (node, call);
 
@@ -407,7 +407,7 @@
   switch (command->kind)
     {
     case SS_COMMAND_SHOW:
-      ss_show (node, id, command);
+      ss_admin_show (node, id, command);
       break;
     case SS_COMMAND_DRAIN:
     case SS_COMMAND_UNDRAIN:
@@ -430,8 +430,8 @@
 }
 
 void
-ss_operate_command (SsNode *node, uint64_t id, const char *text,
-                    bool may_change)
+ss_admin_handle_command (SsNode *node, uint64_t id, const char *text,
+                         bool may_change)
 {
   SsCommand command;
   char *error = ss_command_init (&command, text);
@@ -457,7 +457,7 @@
   if (node->now_ms < o->due_ms)
     return;
   if (o->kind == SS_OPERATION_ROWS)
-    ss_show_end (node, o);
+    ss_admin_show_end (node, o);
   else
     ss_operation_end (node, o, SS_VERDICT_MAY_HAVE_RUN,
                       o->kind == SS_OPERATION_STOP
@@ -467,7 +467,7 @@
 }
 
 void
-ss_operate_tick (SsNode *node)
+ss_admin_tick (SsNode *node)
 {
   GList *calls;
 
--- a/src/core/show.c
+++ b/src/core/admin_show.c
@@ -1,4 +1,4 @@
-/* show: the "show" command; collects a table's rows from all VMs. */
+/* admin_show: the "show" command; collects a table's rows from all VMs. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #define ROWS_BOUND_MS 600
 
 void
-ss_show_end (SsNode *node, SsOperation *o)
+ss_admin_show_end (SsNode *node, SsOperation *o)
 {
   json_t *body;
   json_t *silent;
@@ -60,7 +60,7 @@
 }
 
 void
-ss_show (SsNode *node, uint64_t id, SsCommand *command)
+ss_admin_show (SsNode *node, uint64_t id, SsCommand *command)
 {
   SsOperation *o
       = ss_operation_new (node, id, SS_OPERATION_ROWS, command, ROWS_BOUND_MS);
@@ -68,14 +68,15 @@
 
   json_decref (o->rows);
   o->rows = ss_tables_rows (node, o->command.table);
-  if (ss_tables_is_shared (o->command.table))
+  if (ss_tables_is_per_vm (o->command.table))
     g_tree_foreach (node->members.by_name, request_rows, &request);
   if (g_hash_table_size (o->silent) == 0)
-    ss_show_end (node, o);
+    ss_admin_show_end (node, o);
 }
 
 void
-ss_show_rows_ask (SsNode *node, const char *from, const Ss__Peer__RowsAsk *ask)
+ss_admin_show_handle_rows_ask (SsNode *node, const char *from,
+                               const Ss__Peer__RowsAsk *ask)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__RowsReply reply = SS__PEER__ROWS_REPLY__INIT;
@@ -98,8 +99,8 @@
 }
 
 void
-ss_show_rows_reply (SsNode *node, const char *from,
-                    const Ss__Peer__RowsReply *reply)
+ss_admin_show_handle_rows_reply (SsNode *node, const char *from,
+                                 const Ss__Peer__RowsReply *reply)
 {
   SsOperation *o = ss_operation_find (node, reply->call);
   json_t *rows;
@@ -112,5 +113,5 @@
     json_array_extend (o->rows, rows);
   json_decref (rows);
   if (g_hash_table_size (o->silent) == 0)
-    ss_show_end (node, o);
+    ss_admin_show_end (node, o);
 }
--- a/src/core/command.c
+++ b/src/core/command.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/scan.h"
+#include "core/scanner.h"
 
 const char ss_command_help[]
     = "show services|targets|groups|vms|sessions|config|counters\n"
@@ -74,7 +74,7 @@
 static bool
 accept_word (Parser *p, const char *word)
 {
-  return ss_scan_word (p->scanner, word);
+  return ss_scanner_next_is_word (p->scanner, word);
 }
 
 static bool
@@ -101,23 +101,23 @@
 static bool
 accept_char (Parser *p, char c)
 {
-  return ss_scan_char (p->scanner, c);
+  return ss_scanner_next_is_char (p->scanner, c);
 }
 
 static bool
-expect_operator (Parser *p, SsOperator *op)
+expect_operator (Parser *p, SsComparison *op)
 {
   if (accept_char (p, '='))
-    *op = SS_OP_EQUAL;
+    *op = SS_COMPARE_EQUAL;
   else if (accept_char (p, '!'))
     {
-      *op = SS_OP_UNEQUAL;
+      *op = SS_COMPARE_NOT_EQUAL;
       return accept_char (p, '=') || set_error (p, "!=");
     }
   else if (accept_char (p, '<'))
-    *op = accept_char (p, '=') ? SS_OP_LESS_EQUAL : SS_OP_LESS;
+    *op = accept_char (p, '=') ? SS_COMPARE_LESS_EQUAL : SS_COMPARE_LESS;
   else if (accept_char (p, '>'))
-    *op = accept_char (p, '=') ? SS_OP_GREATER_EQUAL : SS_OP_GREATER;
+    *op = accept_char (p, '=') ? SS_COMPARE_GREATER_EQUAL : SS_COMPARE_GREATER;
   else
     return set_error (p, "one of = != < <= > >=");
   return true;
@@ -252,7 +252,7 @@
 char *
 ss_command_init (SsCommand *command, const char *text)
 {
-  Parser p = { ss_scan_new (text, "_-."), text, NULL };
+  Parser p = { ss_scanner_new (text, "_-."), text, NULL };
 
   memset (command, 0, sizeof *command);
   if (parse_command (&p, command))
@@ -283,19 +283,19 @@
 /* --- selecting rows --- */
 
 static bool
-order_satisfies (SsOperator op, double order)
+order_satisfies (SsComparison op, double order)
 {
   switch (op)
     {
-    case SS_OP_EQUAL:
+    case SS_COMPARE_EQUAL:
       return order == 0;
-    case SS_OP_UNEQUAL:
+    case SS_COMPARE_NOT_EQUAL:
       return order != 0;
-    case SS_OP_LESS:
+    case SS_COMPARE_LESS:
       return order < 0;
-    case SS_OP_LESS_EQUAL:
+    case SS_COMPARE_LESS_EQUAL:
       return order <= 0;
-    case SS_OP_GREATER:
+    case SS_COMPARE_GREATER:
       return order > 0;
     default:
       return order >= 0;
--- a/src/core/command.h
+++ b/src/core/command.h
@@ -45,18 +45,18 @@
 
 typedef enum
 {
-  SS_OP_EQUAL,
-  SS_OP_UNEQUAL,
-  SS_OP_LESS,
-  SS_OP_LESS_EQUAL,
-  SS_OP_GREATER,
-  SS_OP_GREATER_EQUAL
-} SsOperator;
+  SS_COMPARE_EQUAL,
+  SS_COMPARE_NOT_EQUAL,
+  SS_COMPARE_LESS,
+  SS_COMPARE_LESS_EQUAL,
+  SS_COMPARE_GREATER,
+  SS_COMPARE_GREATER_EQUAL
+} SsComparison;
 
 typedef struct
 {
   char *field;
-  SsOperator op;
+  SsComparison op;
   char *text;
   double number;
   bool is_number;
--- a/src/core/config.c
+++ b/src/core/config.c
@@ -109,7 +109,7 @@
   SsTarget *t = value;
 
   (void) key;
-  if (!t->gone && strcmp (t->group, a->group->name) == 0
+  if (!t->removed && strcmp (t->group, a->group->name) == 0
       && a->group->server_count < SS_CONFIG_SERVERS_MAX)
     a->group->servers[a->group->server_count++] = t;
   return FALSE;
@@ -172,7 +172,7 @@
   t->max_connections = parsed.max_connections;
   t->slots = parsed.slots;
   t->draining = parsed.draining;
-  t->gone = false;
+  t->removed = false;
   /* A new incarnation of the server: its last known state is void. */
   if (t->born_ms != parsed.born_ms)
     memset (&t->state, 0, sizeof t->state);
@@ -193,8 +193,8 @@
 
   if (*g->primary)
     return 0;
-  if (before && before->term == g->term && before->unnamed_ms)
-    return before->unnamed_ms;
+  if (before && before->term == g->term && before->no_primary_since_ms)
+    return before->no_primary_since_ms;
   return now_ms;
 }
 
@@ -213,7 +213,7 @@
       group_free (g);
       return error;
     }
-  g->unnamed_ms = no_primary_since (c, g, now_ms);
+  g->no_primary_since_ms = no_primary_since (c, g, now_ms);
   g_tree_replace (c->groups, g->name, g);
   attach_servers (g->name, g, c);
   return NULL;
@@ -352,7 +352,7 @@
   t = ss_config_target (c, strchr (key, '/') + 1);
   if (!t)
     return;
-  t->gone = true;
+  t->removed = true;
   memset (&t->state, 0, sizeof t->state);
   g_tree_foreach (c->groups, attach_servers, c);
 }
@@ -374,7 +374,7 @@
 
   *error = NULL;
   if (stored && !is_newer (stored, object))
-    return SS_ADOPT_OLD;
+    return SS_ADOPT_NOT_NEWER;
   if (object->deleted)
     remove_object (config, object->key);
   else
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -64,7 +64,7 @@
   int64_t born_ms;          /* Unix time of its start; 0: unknown.  Identifies
                                the incarnation. */
   bool draining;
-  bool gone; /* deleted; kept because pointers to it remain */
+  bool removed; /* deleted; kept because pointers to it remain */
   /* last known state */
   SsServerState state;
   int64_t state_ms;     /* upper bound on when the server was asked for it */
@@ -88,7 +88,7 @@
   char *group;
   char *default_kind; /* empty: statements go to the primary */
   bool acknowledge_majority;
-  bool knows_callers; /* a user name identifies one caller */
+  bool identifies_callers; /* a user name identifies one caller */
   uint32_t weight;
   int64_t timeout_ms; /* of a statement; 0: the VM's setting */
   SsReadKind kinds[SS_CONFIG_KINDS_MAX];
@@ -102,9 +102,9 @@
   uint64_t term;
   char *primary; /* empty while a promotion runs */
   char *operation;
-  int64_t changed_ms;   /* when this VM adopted this version */
-  int64_t unnamed_ms;   /* since when this VM knows of no primary in this term;
-                           0: a primary is set */
+  int64_t changed_ms;          /* when this VM adopted this version */
+  int64_t no_primary_since_ms; /* since when this VM knows of no primary in this
+                         term; 0: a primary is set */
   int64_t confirmed_ms; /* when the last query was sent by which the platform
                            confirmed this version as current; 0: never */
   SsTarget *servers[SS_CONFIG_SERVERS_MAX];
@@ -133,7 +133,7 @@
 
 typedef enum
 {
-  SS_ADOPT_OLD,
+  SS_ADOPT_NOT_NEWER,
   SS_ADOPT_DONE,
   SS_ADOPT_INVALID
 } SsAdoption;
--- a/src/core/adopt.c
+++ b/src/core/config_sync.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core/spread.h"
+#include "core/peers.h"
 #include "kernel/names.h"
 
 #define PULL_INTERVAL_MS 300
@@ -13,7 +13,7 @@
 #define DELETION_GRACE_MS 2500
 
 void
-ss_adopt_pull_all (SsNode *node, const char *vm)
+ss_config_sync_pull_all (SsNode *node, const char *vm)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__ConfigPull pull = SS__PEER__CONFIG_PULL__INIT;
@@ -24,7 +24,7 @@
 }
 
 void
-ss_adopt_pull_since (SsNode *node, const char *vm)
+ss_config_sync_pull_newer (SsNode *node, const char *vm)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__ConfigPull pull = SS__PEER__CONFIG_PULL__INIT;
@@ -56,20 +56,20 @@
 defer_deletion (SsNode *node, const SsObject *object)
 {
   const SsStoredObject *stored;
-  SsRemoval *r;
+  SsPendingDeletion *r;
 
   if (!object->deleted || !g_str_has_prefix (object->key, "target/"))
     return false;
   stored = ss_config_object (&node->config, object->key);
   if (!stored || stored->deleted)
     return true;
-  r = g_hash_table_lookup (node->removals, object->key);
+  r = g_hash_table_lookup (node->pending_deletions, object->key);
   if (r)
     return node->now_ms < r->due_ms;
-  r = g_new0 (SsRemoval, 1);
+  r = g_new0 (SsPendingDeletion, 1);
   r->version = object->version;
   r->due_ms = node->now_ms + DELETION_GRACE_MS;
-  g_hash_table_insert (node->removals, g_strdup (object->key), r);
+  g_hash_table_insert (node->pending_deletions, g_strdup (object->key), r);
   return true;
 }
 
@@ -83,7 +83,7 @@
       = ss_config_adopt (&node->config, object, node->now_ms, &error);
 
   if (adoption == SS_ADOPT_DONE)
-    g_hash_table_remove (node->removals, object->key);
+    g_hash_table_remove (node->pending_deletions, object->key);
 
   if (adoption == SS_ADOPT_INVALID)
     {
@@ -95,7 +95,7 @@
                  "version=%" G_GINT64_FORMAT " deleted=%d", object->version,
                  object->deleted);
   if (adoption == SS_ADOPT_DONE && g_str_has_prefix (object->key, "vm/"))
-    ss_directory_take (node, object);
+    ss_directory_apply (node, object);
   group = group_of_object (node, object);
   if (term && group && group->term > term)
     ss_pending_superseded (node, group);
@@ -103,7 +103,7 @@
 }
 
 bool
-ss_adopt_object (SsNode *node, const SsObject *object)
+ss_config_sync_adopt (SsNode *node, const SsObject *object)
 {
   return !defer_deletion (node, object) && adopt_now (node, object);
 }
@@ -162,8 +162,8 @@
   g_tree_foreach (node->config.objects, add_to_push, &p);
   push.since = since;
   push.revision = node->config.revision;
-  push.complete = since == 0 && !ss_feeds_are_one (node)
-                  && ss_feeds_watches (node) && ss_feeds_are_complete (node);
+  push.complete = since == 0 && !ss_watch_is_single (node)
+                  && ss_watch_is_active (node) && ss_watch_is_complete (node);
   push.objects = p.list;
   push.n_objects = p.count;
   if (node->vms_json)
@@ -197,13 +197,14 @@
 }
 
 void
-ss_adopt_push_domain (SsNode *node, int64_t since)
+ss_config_sync_push_domain (SsNode *node, int64_t since)
 {
   push_since (node, since, send_to_domain, NULL);
 }
 
 void
-ss_adopt_pull (SsNode *node, const char *from, const Ss__Peer__ConfigPull *pull)
+ss_config_sync_handle_pull (SsNode *node, const char *from,
+                            const Ss__Peer__ConfigPull *pull)
 {
   push_since (node, pull->since, send_to_one, from);
 }
@@ -216,12 +217,13 @@
 
   for (size_t i = 0; i < push->n_objects; i++)
     g_hash_table_add (present, push->objects[i]->key);
-  ss_adopt_drop_missing (node, "", push->revision, present);
+  ss_config_sync_delete_missing (node, "", push->revision, present);
   g_hash_table_destroy (present);
 }
 
 void
-ss_adopt_push (SsNode *node, const char *from, const Ss__Peer__ConfigPush *push)
+ss_config_sync_handle_push (SsNode *node, const char *from,
+                            const Ss__Peer__ConfigPush *push)
 {
   for (size_t i = 0; i < push->n_objects; i++)
     {
@@ -235,15 +237,15 @@
   if (push->complete)
     delete_unsent (node, push);
   if (push->vms.len)
-    ss_feeds_vms (node, (const char *) push->vms.data,
-                  (uint32_t) push->vms.len);
+    ss_watch_handle_vms (node, (const char *) push->vms.data,
+                         (uint32_t) push->vms.len);
   ss_owner_update (node);
   if (push->since == WITHOUT_REVISION)
     return;
   if (push->since <= node->config.revision)
     node->config.revision = MAX (node->config.revision, push->revision);
   else
-    ss_adopt_pull_since (node, from);
+    ss_config_sync_pull_newer (node, from);
 }
 
 static void
@@ -283,16 +285,16 @@
 }
 
 void
-ss_adopt_forward (SsNode *node, const SsObject *objects, uint32_t count)
+ss_config_sync_forward (SsNode *node, const SsObject *objects, uint32_t count)
 {
-  if (count && node->members.relayed && ss_feeds_watches (node))
+  if (count && node->members.relayed && ss_watch_is_active (node))
     forward_objects (node, objects, count, true);
 }
 
 void
-ss_adopt_one (SsNode *node, const SsObject *object)
+ss_config_sync_publish (SsNode *node, const SsObject *object)
 {
-  if (!ss_adopt_object (node, object))
+  if (!ss_config_sync_adopt (node, object))
     return;
   ss_owner_update (node);
   forward_objects (node, object, 1, false);
@@ -320,8 +322,8 @@
 }
 
 bool
-ss_adopt_drop_missing (SsNode *node, const char *prefix, int64_t revision,
-                       GHashTable *present)
+ss_config_sync_delete_missing (SsNode *node, const char *prefix,
+                               int64_t revision, GHashTable *present)
 {
   MissingContext c
       = { prefix, revision, present, g_ptr_array_new_with_free_func (g_free) };
@@ -334,36 +336,37 @@
                      .version = revision,
                      .deleted = true };
 
-      if (!ss_adopt_object (node, &o))
+      if (!ss_config_sync_adopt (node, &o))
         continue;
       dropped = true;
-      ss_adopt_forward (node, &o, 1);
+      ss_config_sync_forward (node, &o, 1);
     }
   g_ptr_array_free (c.missing, TRUE);
   return dropped;
 }
 
 void
-ss_adopt_remove_gone (SsNode *node)
+ss_config_sync_delete_expired (SsNode *node)
 {
   GPtrArray *due = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter iter;
   gpointer key;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, node->removals);
+  g_hash_table_iter_init (&iter, node->pending_deletions);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    if (node->now_ms >= ((SsRemoval *) value)->due_ms)
+    if (node->now_ms >= ((SsPendingDeletion *) value)->due_ms)
       g_ptr_array_add (due, g_strdup (key));
   for (guint i = 0; i < due->len; i++)
     {
       const char *name = g_ptr_array_index (due, i);
-      SsRemoval *r = g_hash_table_lookup (node->removals, name);
+      SsPendingDeletion *r
+          = g_hash_table_lookup (node->pending_deletions, name);
       SsObject o = { .key = name, .version = r->version, .deleted = true };
 
       if (adopt_now (node, &o))
-        ss_adopt_forward (node, &o, 1);
-      g_hash_table_remove (node->removals, name);
+        ss_config_sync_forward (node, &o, 1);
+      g_hash_table_remove (node->pending_deletions, name);
     }
   if (due->len)
     ss_owner_update (node);
--- a/src/core/marks.c
+++ b/src/core/confirmed.c
@@ -1,4 +1,4 @@
-/* marks: confirmed positions of each group's primary.
+/* confirmed: confirmed positions of each group's primary.
  *
  * A strict read, a read with bounded staleness and the first read of a session
  * take their floor from such a position.
@@ -14,25 +14,25 @@
  */
 #define UNSOLICITED_DELAY_MS 250
 
-SsMarks *
-ss_marks_get (SsNode *node, const char *group)
+SsConfirmedPositions *
+ss_confirmed_get (SsNode *node, const char *group)
 {
-  SsMarks *m = g_tree_lookup (node->marks, group);
+  SsConfirmedPositions *m = g_tree_lookup (node->confirmed_positions, group);
 
   if (m)
     return m;
-  m = g_new0 (SsMarks, 1);
+  m = g_new0 (SsConfirmedPositions, 1);
   m->group = g_strdup (group);
   m->identities = g_ptr_array_new_with_free_func (g_free);
   m->floors = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_tree_insert (node->marks, m->group, m);
+  g_tree_insert (node->confirmed_positions, m->group, m);
   return m;
 }
 
 void
-ss_marks_free (gpointer confirmed)
+ss_confirmed_free (gpointer confirmed)
 {
-  SsMarks *m = confirmed;
+  SsConfirmedPositions *m = confirmed;
 
   g_ptr_array_free (m->identities, TRUE);
   g_hash_table_destroy (m->floors);
@@ -41,7 +41,7 @@
 }
 
 SsPosition
-ss_marks_floor (const SsMarks *confirmed, const char *identity)
+ss_confirmed_floor (const SsConfirmedPositions *confirmed, const char *identity)
 {
   const SsPosition *floor = g_hash_table_lookup (confirmed->floors, identity);
 
@@ -49,7 +49,7 @@
 }
 
 static void
-send_mark_ask (SsNode *node, SsMarks *confirmed)
+send_mark_ask (SsNode *node, SsConfirmedPositions *confirmed)
 {
   SsGroup *group = ss_config_group (&node->config, confirmed->group);
   SsTarget *primary = group ? ss_group_primary (group) : NULL;
@@ -78,7 +78,7 @@
  * next one.
  */
 void
-ss_marks_ask (SsNode *node, SsMarks *confirmed)
+ss_confirmed_request (SsNode *node, SsConfirmedPositions *confirmed)
 {
   if (confirmed->outstanding)
     confirmed->requested_again = true;
@@ -87,7 +87,7 @@
 }
 
 void
-ss_marks_retry (SsNode *node, SsMarks *confirmed)
+ss_confirmed_retry (SsNode *node, SsConfirmedPositions *confirmed)
 {
   if (confirmed->outstanding
       && node->now_ms - confirmed->last_sent_ms >= CONFIRM_RETRY_MS)
@@ -95,26 +95,26 @@
 }
 
 static void
-add_to_ring (SsMarks *m)
+add_to_ring (SsConfirmedPositions *m)
 {
   /* Also true where the latest reply is older than the last one in the ring. */
   if (m->count
       && m->latest.asked_ms - m->ring[m->count - 1].asked_ms < RING_SPACING_MS)
     return;
-  if (m->count == SS_MARKS_MAX)
+  if (m->count == SS_CONFIRMED_MAX)
     {
       memmove (&m->ring[0], &m->ring[1],
-               sizeof m->ring[0] * (SS_MARKS_MAX - 1));
+               sizeof m->ring[0] * (SS_CONFIRMED_MAX - 1));
       m->count--;
     }
   m->ring[m->count++] = m->latest;
 }
 
 void
-ss_marks_told (SsNode *node, const char *group, SsPosition position,
-               uint32_t age_ms)
+ss_confirmed_handle_unsolicited (SsNode *node, const char *group,
+                                 SsPosition position, uint32_t age_ms)
 {
-  SsMarks *m = g_tree_lookup (node->marks, group);
+  SsConfirmedPositions *m = g_tree_lookup (node->confirmed_positions, group);
   int64_t asked_ms = node->now_ms - age_ms - UNSOLICITED_DELAY_MS;
 
   if (!m || asked_ms <= m->latest.asked_ms)
@@ -124,11 +124,11 @@
   m->latest.position = position;
   m->latest.seq = MAX (m->latest.seq, 1);
   add_to_ring (m);
-  ss_pending_wake (node, group, SS_WAIT_MARK);
+  ss_pending_wake (node, group, SS_WAIT_CONFIRMED);
 }
 
 static void
-store_floors (SsMarks *m, const Ss__Peer__MarkReply *reply)
+store_floors (SsConfirmedPositions *m, const Ss__Peer__MarkReply *reply)
 {
   g_hash_table_remove_all (m->floors);
   if (reply->n_floors != m->identities->len)
@@ -147,9 +147,10 @@
  * so it covers every write acknowledged before that.
  */
 void
-ss_marks_reply (SsNode *node, const Ss__Peer__MarkReply *reply)
+ss_confirmed_handle_reply (SsNode *node, const Ss__Peer__MarkReply *reply)
 {
-  SsMarks *m = g_tree_lookup (node->marks, reply->group);
+  SsConfirmedPositions *m
+      = g_tree_lookup (node->confirmed_positions, reply->group);
 
   if (!m || !m->outstanding || reply->nonce != m->last_seq)
     {
@@ -162,13 +163,14 @@
   m->latest.position = ss_position_unpack (reply->mark);
   add_to_ring (m);
   store_floors (m, reply);
-  ss_pending_wake (node, reply->group, SS_WAIT_MARK);
+  ss_pending_wake (node, reply->group, SS_WAIT_CONFIRMED);
   if (m->requested_again && !m->outstanding)
     send_mark_ask (node, m);
 }
 
 bool
-ss_marks_within (const SsMarks *confirmed, int64_t since_ms, SsMark *found)
+ss_confirmed_since (const SsConfirmedPositions *confirmed, int64_t since_ms,
+                    SsConfirmedPosition *found)
 {
   for (uint32_t i = 0; i < confirmed->count; i++)
     {
--- a/src/core/lead.c
+++ b/src/core/coordinator.c
@@ -1,4 +1,5 @@
-/* lead: promotions that one VM, the coordinator, has the platform carry out. */
+/* coordinator: promotions that one VM, the coordinator, has the platform carry
+ * out. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -42,11 +43,11 @@
 #define COORDINATOR_SUBJECT "promotions"
 
 bool
-ss_lead_is_coordinator (SsNode *node)
+ss_coordinator_is_self (SsNode *node)
 {
   const char *vm;
 
-  if (ss_members_is_unsure (&node->members, node->now_ms))
+  if (ss_members_in_relay_grace (&node->members, node->now_ms))
     return false;
   vm = ss_members_coordinator (&node->members, COORDINATOR_SUBJECT);
   return vm && strcmp (vm, node->params.vm) == 0;
@@ -56,7 +57,7 @@
  * again.
  */
 uint64_t
-ss_lead_term (const SsGroup *group)
+ss_coordinator_next_term (const SsGroup *group)
 {
   uint64_t term = *group->primary ? group->term + 1 : group->term;
 
@@ -90,7 +91,7 @@
 }
 
 bool
-ss_lead_adopt (SsNode *node, SsPromotion *p, SsGroup *group)
+ss_coordinator_adopt_primary (SsNode *node, SsPromotion *p, SsGroup *group)
 {
   const SsTarget *leader = find_leader (node, group);
 
@@ -119,13 +120,14 @@
 /* Tracks whether the replicas of an unreachable primary still receive from it.
  */
 void
-ss_lead_watch (SsNode *node, SsPromotion *p, const SsGroup *group)
+ss_coordinator_poll_replicas (SsNode *node, SsPromotion *p,
+                              const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
   SsPosition highest = p->replica_position;
   bool ask = primary && !primary->state.reachable
              && node->now_ms - p->replicas_polled_ms >= REPLICA_POLL_MS
-             && ss_lead_is_coordinator (node);
+             && ss_coordinator_is_self (node);
 
   for (uint32_t i = 0; i < group->server_count; i++)
     {
@@ -135,7 +137,7 @@
         continue;
       highest = ss_position_max (highest, t->state.held);
       if (ask)
-        ss_hold_ask_status (node, t);
+        ss_quorum_request_status (node, t);
     }
   if (ask)
     p->replicas_polled_ms = node->now_ms;
@@ -146,7 +148,8 @@
 }
 
 bool
-ss_lead_is_suspect (SsNode *node, const SsPromotion *p, const SsGroup *group)
+ss_coordinator_is_suspect (SsNode *node, const SsPromotion *p,
+                           const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
   int64_t down_ms = node->now_ms - p->primary_seen_ms;
@@ -199,7 +202,7 @@
 }
 
 void
-ss_lead_begin (SsNode *node, SsPromotion *p)
+ss_coordinator_call_platform (SsNode *node, SsPromotion *p)
 {
   ss_promote_enter (node, p, SS_PROMOTE_DUTY);
   write_duty (node, p);
@@ -269,8 +272,8 @@
 /* A write whose answer was lost may have taken effect, so the object is read.
  */
 void
-ss_lead_duty (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
-              const SsObject *object)
+ss_coordinator_handle_duty (SsNode *node, uint64_t call,
+                            SsPlatformOutcome outcome, const SsObject *object)
 {
   SsPromotion *p = find_promotion (node, call);
   bool known = outcome == SS_PLATFORM_DONE || outcome == SS_PLATFORM_CONFLICT;
@@ -286,7 +289,7 @@
       p->fencing_token = object->version;
       call_platform (node, p);
     }
-  else if (!ss_lead_is_coordinator (node))
+  else if (!ss_coordinator_is_self (node))
     ss_promote_give_up (node, p, "another vm holds the failover duty");
   else if (known)
     write_duty (node, p);
@@ -295,7 +298,8 @@
 }
 
 void
-ss_promote_called (SsNode *node, uint64_t call, SsPlatformOutcome outcome)
+ss_coordinator_handle_call (SsNode *node, uint64_t call,
+                            SsPlatformOutcome outcome)
 {
   SsPromotion *p = find_promotion (node, call);
 
@@ -333,18 +337,18 @@
   if (node->now_ms - p->asked_ms < PROMOTED_POLL_MS)
     return;
   p->asked_ms = node->now_ms;
-  ss_hold_ask_status (node, t);
+  ss_quorum_request_status (node, t);
 }
 
 void
-ss_lead_tick (SsNode *node, SsPromotion *p)
+ss_coordinator_tick (SsNode *node, SsPromotion *p)
 {
   if (p->step == SS_PROMOTE_DUTY && node->now_ms - p->asked_ms >= DUTY_RETRY_MS)
     write_duty (node, p);
   if (p->step != SS_PROMOTE_LEAD)
     return;
   if (node->now_ms - p->since_ms >= CALL_RETRY_MS)
-    ss_lead_begin (node, p);
+    ss_coordinator_call_platform (node, p);
   else
     check_promoted (node, p);
 }
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -55,8 +55,8 @@
   /* Returns TEXT with FLOOR added, the position that the target must have
    * applied before it runs TEXT.
    */
-  char *(*at_floor) (const SsDialect *dialect, SsPosition floor,
-                     const char *text);
+  char *(*add_floor) (const SsDialect *dialect, SsPosition floor,
+                      const char *text);
   /* Returns the statement that makes TARGET follow its group's PRIMARY (NULL:
    * none is named) in TERM, or NULL where none is needed.
    */
@@ -66,11 +66,11 @@
   bool platform_promotes;
 };
 
-/* ss_dialect_keeps_sessions: whether DIALECT has the optional functions, so
- * that session state is tracked at the entry VM.
+/* ss_dialect_multiplexes_sessions: whether DIALECT has the optional functions,
+ * so that session state is tracked at the entry VM.
  */
 static inline bool
-ss_dialect_keeps_sessions (const SsDialect *dialect)
+ss_dialect_multiplexes_sessions (const SsDialect *dialect)
 {
   return dialect->parse != NULL;
 }
--- a/src/core/directory.c
+++ b/src/core/directory.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "core/internal.h"
-#include "core/spread.h"
+#include "core/peers.h"
 
 /* Interval between attempts to write this VM's object. */
 #define WRITE_INTERVAL_MS 1000
@@ -202,7 +202,7 @@
 }
 
 void
-ss_directory_take (SsNode *node, const SsObject *object)
+ss_directory_apply (SsNode *node, const SsObject *object)
 {
   const char *vm = object->key + strlen (PREFIX);
   SsMember *m = ss_members_find (&node->members, vm);
@@ -229,7 +229,7 @@
   port = json_integer_value (json_object_get (json, "peer_port"));
   if (domain && ip && port > 0 && port <= 65535)
     {
-      m = ss_spread_add_member (node, vm, domain, ip, (uint16_t) port);
+      m = ss_peers_add_member (node, vm, domain, ip, (uint16_t) port);
       ss_members_set_listed (&node->members, m, true);
     }
   else
@@ -242,21 +242,21 @@
  * VM's object again on top of it.
  */
 void
-ss_directory_object (SsNode *node, SsPlatformOutcome outcome,
-                     const SsObject *object)
+ss_directory_handle_object (SsNode *node, SsPlatformOutcome outcome,
+                            const SsObject *object)
 {
   if (!object->key || !g_str_has_prefix (object->key, PREFIX))
     return;
   if (outcome == SS_PLATFORM_DONE || outcome == SS_PLATFORM_CONFLICT)
-    ss_adopt_object (node, object);
+    ss_config_sync_adopt (node, object);
   if (outcome == SS_PLATFORM_CONFLICT)
     node->directory_due_ms = node->now_ms;
 }
 
 void
-ss_directory_leave (SsNode *node)
+ss_directory_deregister (SsNode *node)
 {
-  if (node->feeds[SS_FEED_VMS].complete)
+  if (node->watches[SS_WATCH_VMS].complete)
     delete_vm_object (node, node->params.vm, 0);
 }
 
@@ -265,7 +265,7 @@
 {
   const char *coordinator;
 
-  if (!node->feeds[SS_FEED_VMS].complete || node->stopping
+  if (!node->watches[SS_WATCH_VMS].complete || node->stopping
       || node->now_ms < node->directory_due_ms)
     return;
   node->directory_due_ms = node->now_ms + WRITE_INTERVAL_MS;
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -82,11 +82,11 @@
   r->deadline_ms = node->now_ms + statement_timeout_ms (node, s);
   set_floor_group (s, group);
   if (group)
-    r->start_seq = ss_marks_get (node, group->name)->last_seq;
+    r->start_seq = ss_confirmed_get (node, group->name)->last_seq;
   s->request = r;
   g_hash_table_insert (node->requests, &r->id, r);
   ss_route_assign_trace (node, r);
-  ss_budget_first_try (&node->budget);
+  ss_retry_budget_deposit (&node->retry_budget);
   return r;
 }
 
@@ -122,9 +122,9 @@
   const char *error = NULL;
 
   if (!node->ready && !node->stopping
-      && ss_dialect_keeps_sessions (node->dialect))
+      && ss_dialect_multiplexes_sessions (node->dialect))
     {
-      ss_opens_add (node, caller, service, user);
+      ss_startup_add (node, caller, service, user);
       return;
     }
   if (node->stopping || !node->ready)
@@ -148,12 +148,12 @@
   /* Where sessions are tracked there are no session tokens: a session is one
    * connection of its caller and has no earlier writes to see.
    */
-  s->floor_known = ss_dialect_keeps_sessions (node->dialect);
+  s->floor_known = ss_dialect_multiplexes_sessions (node->dialect);
   group = ss_session_group (node, s);
   if (group && !ss_entry_uses_group (node, group->name))
     node->subscribe_due_ms = node->now_ms;
   if (group)
-    s->open_seq = ss_marks_get (node, group->name)->last_seq;
+    s->open_seq = ss_confirmed_get (node, group->name)->last_seq;
   for (size_t i = 0; settings && settings[i] && !error; i += 2)
     error = ss_session_set (node, s, settings[i], settings[i + 1]);
   if (error)
@@ -179,9 +179,9 @@
 static void
 reply_transaction_lost (SsNode *node, SsSession *s, const char *sql)
 {
-  bool rolls_back = ss_local_first_word (sql, "rollback")
-                    || ss_local_first_word (sql, "abort");
-  bool ends = ss_local_ends_transaction (sql);
+  bool rolls_back = ss_sql_begins_with (sql, "rollback")
+                    || ss_sql_begins_with (sql, "abort");
+  bool ends = ss_sql_ends_transaction (sql);
   bool silent = rolls_back || (ends && !s->loss_unreported);
 
   ss_session_note_loss_reported (s, sql);
@@ -198,12 +198,12 @@
                     const char *sql)
 {
   SsSession *s = find_session (node, caller);
-  SsLocal setting;
+  SsSettingStatement setting;
 
   if (!s || s->request)
     return;
   ss_node_count (node, SS_COUNTER_STATEMENTS);
-  if (ss_dialect_keeps_sessions (node->dialect))
+  if (ss_dialect_multiplexes_sessions (node->dialect))
     {
       ss_session_statement (node, s, label, sql);
       return;
@@ -218,12 +218,12 @@
       reply_transaction_lost (node, s, sql);
       return;
     }
-  ss_local_init (&setting, sql);
-  if (setting.kind != SS_LOCAL_NONE)
+  ss_sql_parse_setting (&setting, sql);
+  if (setting.kind != SS_SETTING_STATEMENT_NONE)
     ss_session_run_setting (node, s, &setting);
   else
     ss_entry_dispatch (node, ss_entry_create_request (node, s, sql));
-  ss_local_finish (&setting);
+  ss_sql_setting_finish (&setting);
 }
 
 void
@@ -259,7 +259,7 @@
 
   if (!s)
     {
-      ss_opens_remove (node, caller);
+      ss_startup_remove (node, caller);
       return;
     }
   if (s->pinned_vm)
@@ -277,7 +277,7 @@
 {
   bool is_safe = verdict == SS_VERDICT_NOT_RUN
                  || (verdict == SS_VERDICT_MAY_HAVE_RUN && r->is_read);
-  bool tracks_sessions = ss_dialect_keeps_sessions (node->dialect);
+  bool tracks_sessions = ss_dialect_multiplexes_sessions (node->dialect);
 
   /* A transaction stays on the connection that ran its first statement.  A
    * write is retried only where the dialect tracks sessions, and not while the
@@ -291,7 +291,7 @@
       || reason == SS_REASON_DEADLINE || r->tries >= SS_REQUEST_TRIES_MAX
       || node->now_ms >= r->deadline_ms)
     return false;
-  if (ss_budget_take_retry (&node->budget))
+  if (ss_retry_budget_withdraw (&node->retry_budget))
     return true;
   ss_node_count (node, SS_COUNTER_RETRIES_REFUSED);
   return false;
@@ -370,7 +370,7 @@
   if (commit.offset)
     {
       ss_session_raise_floor (s, commit);
-      if (!ss_dialect_keeps_sessions (node->dialect))
+      if (!ss_dialect_multiplexes_sessions (node->dialect))
         ss_session_send_token (node, s);
     }
   a = ss_session_reply (node, s, verdict, (SsReason) reply->reason,
@@ -382,7 +382,8 @@
 }
 
 void
-ss_entry_reply (SsNode *node, const char *from, const Ss__Peer__RunReply *reply)
+ss_entry_handle_reply (SsNode *node, const char *from,
+                       const Ss__Peer__RunReply *reply)
 {
   SsRequest *r = g_hash_table_lookup (node->requests, &reply->request);
 
@@ -403,7 +404,7 @@
 bool
 ss_entry_uses_group (SsNode *node, const char *group)
 {
-  return g_tree_lookup (node->marks, group) != NULL;
+  return g_tree_lookup (node->confirmed_positions, group) != NULL;
 }
 
 static void
--- a/src/core/entry.h
+++ b/src/core/entry.h
@@ -17,7 +17,7 @@
                             const char *value);
 /* ss_session_run_local: answers SET, RESET or SHOW of sapphirestair.*. */
 void ss_session_run_setting (SsNode *node, SsSession *s,
-                             const SsLocal *setting);
+                             const SsSettingStatement *setting);
 /* ss_session_replace_text: frees *FIELD and sets it to a copy of VALUE, or to
  * NULL where VALUE is NULL or empty.
  */
@@ -29,12 +29,12 @@
 void ss_entry_refuse_open (SsNode *node, uint64_t caller, SsReason reason,
                            const char *text);
 
-/* --- opens.c: callers that connect during start-up --- */
+/* --- startup.c: callers that connect during start-up --- */
 
-/* ss_opens_add: queues CALLER until this VM is ready. */
-void ss_opens_add (SsNode *node, uint64_t caller, const char *service,
-                   const char *user);
-void ss_opens_remove (SsNode *node, uint64_t caller);
+/* ss_startup_add: queues CALLER until this VM is ready. */
+void ss_startup_add (SsNode *node, uint64_t caller, const char *service,
+                     const char *user);
+void ss_startup_remove (SsNode *node, uint64_t caller);
 
 /* --- statement.c --- */
 
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -80,7 +80,7 @@
 } SsObject;
 
 /* The watches on the platform: one for all objects, or one for each kind. */
-#define SS_FEEDS(X)                                                            \
+#define SS_WATCHES(X)                                                          \
   X (ALL, "")                                                                  \
   X (ROUTES, "routes/")                                                        \
   X (TARGETS, "target/")                                                       \
@@ -89,14 +89,14 @@
 
 typedef enum
 {
-#define SS_FEED_ENUM(id, prefix) SS_FEED_##id,
-  SS_FEEDS (SS_FEED_ENUM)
-#undef SS_FEED_ENUM
-      SS_FEED_COUNT
-} SsFeed;
+#define SS_WATCH_ENUM(id, prefix) SS_WATCH_##id,
+  SS_WATCHES (SS_WATCH_ENUM)
+#undef SS_WATCH_ENUM
+      SS_WATCH_COUNT
+} SsWatch;
 
-/* ss_feed_prefix: returns the key prefix of the objects that FEED covers. */
-const char *ss_feed_prefix (SsFeed feed);
+/* ss_watch_prefix: returns the key prefix of the objects that FEED covers. */
+const char *ss_watch_prefix (SsWatch feed);
 
 /* The result of a call to the platform. */
 #define SS_PLATFORM_OUTCOMES(X)                                                \
@@ -148,7 +148,7 @@
     {
       uint64_t connection;
       bool refused;         /* TARGET_CLOSED: connection refused */
-      bool is_other;        /* TARGET_CLOSED: another server answered */
+      bool is_wrong_server; /* TARGET_CLOSED: another server answered */
       const char *sqlstate; /* TARGET_CLOSED: of a failed start-up, or NULL */
     } target;
     struct
@@ -159,7 +159,7 @@
     struct
     {
       SsPlatformOutcome outcome;
-      SsFeed feed;
+      SsWatch feed;
       bool complete; /* the watch has no other objects */
       bool listed;   /* answers PLATFORM_LIST with the present state */
       int64_t since;
--- a/src/core/isolation.c
+++ b/src/core/isolation.c
@@ -62,19 +62,19 @@
     return;
   if (!ss_isolation_lost_majority (node))
     {
-      node->alone_since_ms = 0;
+      node->minority_since_ms = 0;
       set_isolated (node, false);
       return;
     }
-  if (!node->alone_since_ms)
+  if (!node->minority_since_ms)
     {
-      node->alone_since_ms = node->now_ms;
+      node->minority_since_ms = node->now_ms;
       /* Find out now whether the platform still answers. */
       ss_lease_list_vms (node);
     }
   if (!node->platform_down)
     set_isolated (node, false);
-  else if (node->now_ms - node->alone_since_ms >= ISOLATED_AFTER_MS)
+  else if (node->now_ms - node->minority_since_ms >= ISOLATED_AFTER_MS)
     set_isolated (node, true);
   if (node->isolated)
     ss_entry_end_idle (node, SESSIONS_PER_TICK);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -119,7 +119,7 @@
       sql = g_strdup_printf ("%s; %s; COMMIT", first, second);
       *skip_results = 2;
       break;
-    case SS_STEP_REPLAY:
+    case SS_STEP_LOOKUP:
       first = d->find_key (d, job->key);
       sql = g_strdup_printf ("ROLLBACK; %s", first);
       *skip_results = 1;
@@ -149,7 +149,7 @@
   a->id = c->id;
   a->text = step_sql (node, c->job, &skip_results);
   a->skip_results = skip_results;
-  a->want_row = step == SS_STEP_REPLAY;
+  a->want_row = step == SS_STEP_LOOKUP;
 }
 
 static void
@@ -158,7 +158,7 @@
   c->job = job;
   job->connection = c;
   job->started_ms = node->now_ms;
-  if (ss_dialect_keeps_sessions (node->dialect))
+  if (ss_dialect_multiplexes_sessions (node->dialect))
     ss_multiplex_start (node, c);
   else if (!job->key)
     ss_job_start_step (node, c, SS_STEP_PLAIN);
@@ -167,7 +167,7 @@
 }
 
 void
-ss_job_dispatch (SsNode *node, SsOwned *owned)
+ss_job_dispatch (SsNode *node, SsOwnedTarget *owned)
 {
   while (ss_pool_find_idle (owned))
     {
@@ -186,7 +186,7 @@
 }
 
 bool
-ss_owned_covers_floor (const SsOwned *owned, SsPosition applied,
+ss_owned_covers_floor (const SsOwnedTarget *owned, SsPosition applied,
                        SsPosition floor)
 {
   SsPosition translated
@@ -201,13 +201,13 @@
  * floor is of a term that it does not know.
  */
 static SsReason
-check_floor_term (SsNode *node, SsOwned *owned, SsPosition floor)
+check_floor_term (SsNode *node, SsOwnedTarget *owned, SsPosition floor)
 {
   const SsServerState *s = &owned->target->state;
 
   if (floor.term <= MAX (s->follow_term, s->applied.term))
     return SS_REASON_NONE;
-  ss_monitor_poll_soon (node, owned);
+  ss_target_monitor_poll_soon (node, owned);
   return SS_REASON_BEHIND;
 }
 
@@ -215,7 +215,7 @@
  * reason to refuse it.
  */
 static SsReason
-check_target (SsNode *node, SsOwned *owned, const Ss__Peer__Run *run)
+check_target (SsNode *node, SsOwnedTarget *owned, const Ss__Peer__Run *run)
 {
   SsTarget *t = owned->target;
   SsGroup *group = ss_config_group (&node->config, t->group);
@@ -227,7 +227,7 @@
   if (!t->state.reachable)
     return SS_REASON_CONNECT;
   if (run->is_read && !run->confirm
-      && ss_dialect_keeps_sessions (node->dialect))
+      && ss_dialect_multiplexes_sessions (node->dialect))
     return check_floor_term (node, owned, ss_position_unpack (run->floor));
   if (run->is_read && !run->confirm)
     return ss_owned_covers_floor (owned, t->state.applied,
@@ -255,7 +255,7 @@
 }
 
 static SsJob *
-new_job (SsNode *node, SsOwned *owned, const char *from,
+new_job (SsNode *node, SsOwnedTarget *owned, const char *from,
          const Ss__Peer__Run *run)
 {
   SsJob *job = g_new0 (SsJob, 1);
@@ -289,7 +289,7 @@
 }
 
 static void
-run_pinned (SsNode *node, SsOwned *owned, const char *from,
+run_pinned (SsNode *node, SsOwnedTarget *owned, const char *from,
             const Ss__Peer__Run *run)
 {
   SsConnection *c = ss_pool_find_pinned (owned, from, run->transaction);
@@ -305,7 +305,7 @@
  * lost, so that transaction is ended.
  */
 static void
-end_orphaned_transactions (SsNode *node, SsOwned *owned, const char *from,
+end_orphaned_transactions (SsNode *node, SsOwnedTarget *owned, const char *from,
                            uint64_t session)
 {
   for (guint i = owned->connections->len; i > 0; i--)
@@ -319,7 +319,7 @@
 }
 
 void
-ss_job_queue (SsNode *node, SsOwned *owned, SsJob *job)
+ss_job_queue (SsNode *node, SsOwnedTarget *owned, SsJob *job)
 {
   SsService *service = ss_config_service (&node->config, job->service);
   uint32_t retry_after_ms;
@@ -341,7 +341,7 @@
 void
 ss_job_run (SsNode *node, const char *from, const Ss__Peer__Run *run)
 {
-  SsOwned *owned = ss_owner_find (node, run->target);
+  SsOwnedTarget *owned = ss_owner_find (node, run->target);
   SsReason reason;
   SsJob *job;
 
@@ -350,7 +350,8 @@
       refuse_run (node, from, run, SS_REASON_NOT_OWNER, SS_RETRY_SOON_MS);
       return;
     }
-  if (run->keeps && owned->stuck && ss_dialect_keeps_sessions (node->dialect))
+  if (run->keeps && owned->replication_stalled
+      && ss_dialect_multiplexes_sessions (node->dialect))
     {
       refuse_run (node, from, run, SS_REASON_NO_MAJORITY,
                   SS_RETRY_PROMOTION_MS);
@@ -370,7 +371,7 @@
     }
   job = new_job (node, owned, from, run);
   if (job->confirm)
-    ss_hold_confirm (node, job);
+    ss_quorum_confirm (node, job);
   else
     ss_job_queue (node, owned, job);
 }
--- a/src/core/outcome.c
+++ b/src/core/job_result.c
@@ -1,4 +1,4 @@
-/* outcome: handles the results of statements and decides the reply. */
+/* job_result: handles the results of statements and decides the reply. */
 #include <string.h>
 
 #include "core/owner.h"
@@ -13,7 +13,7 @@
 static void
 release_connection (SsNode *node, SsConnection *c, const SsJob *job)
 {
-  SsOwned *owned = c->owned;
+  SsOwnedTarget *owned = c->owned;
 
   if (node->params.spans)
     ss_node_log (node, SS_EVENT_LOG_SPAN, job->trace,
@@ -30,7 +30,7 @@
           c->session = job->session;
           c->transaction = job->request;
         }
-      if (!ss_dialect_keeps_sessions (node->dialect))
+      if (!ss_dialect_multiplexes_sessions (node->dialect))
         return;
       /* Frees the slot for other sessions until the next statement. */
       ss_pool_release_slot (c, node->now_ms - job->started_ms);
@@ -58,7 +58,7 @@
    */
   if (job->transaction_status != 'I' && reason != SS_REASON_NONE
       && reason != SS_REASON_TARGET_ERROR
-      && ss_dialect_keeps_sessions (node->dialect))
+      && ss_dialect_multiplexes_sessions (node->dialect))
     ss_multiplex_roll_back (node, c);
   ss_job_answer (node, job, verdict, reason, retry_after_ms);
 }
@@ -76,7 +76,7 @@
     }
   job->connection = NULL;
   release_connection (node, c, job);
-  ss_hold_wait (node, job);
+  ss_quorum_wait (node, job);
 }
 
 static void
@@ -116,7 +116,7 @@
       bool is_taken = strcmp (job->sqlstate, UNIQUE_VIOLATION) == 0
                       || strcmp (job->sqlstate, LOCK_NOT_AVAILABLE) == 0;
 
-      ss_job_start_step (node, c, is_taken ? SS_STEP_REPLAY : SS_STEP_ROLLBACK);
+      ss_job_start_step (node, c, is_taken ? SS_STEP_LOOKUP : SS_STEP_ROLLBACK);
       return;
     }
   job->tag = g_strdup (result->tag);
@@ -203,8 +203,7 @@
 }
 
 void
-ss_outcome_result (SsNode *node, uint64_t connection,
-                   const SsTargetResult *result)
+ss_job_result (SsNode *node, uint64_t connection, const SsTargetResult *result)
 {
   SsConnection *c = g_hash_table_lookup (node->connections, &connection);
 
@@ -215,12 +214,12 @@
     }
   if (c->is_control)
     {
-      ss_monitor_result (node, c->owned, result);
+      ss_target_monitor_result (node, c->owned, result);
       return;
     }
   advance_applied (c->owned->target, result->applied);
   c->owned->target->reachable_ms = node->now_ms;
-  if (ss_dialect_keeps_sessions (node->dialect))
+  if (ss_dialect_multiplexes_sessions (node->dialect))
     ss_multiplex_note_position (node, c, result);
   if (c->rolls_back)
     {
@@ -228,7 +227,7 @@
       return;
     }
   record_result (c->job, result);
-  if (ss_dialect_keeps_sessions (node->dialect))
+  if (ss_dialect_multiplexes_sessions (node->dialect))
     {
       ss_multiplex_note_commit (c->job, result);
       ss_multiplex_result (node, c, result);
@@ -246,7 +245,7 @@
     case SS_STEP_RECORD:
       end_record (node, c, result);
       break;
-    case SS_STEP_REPLAY:
+    case SS_STEP_LOOKUP:
       end_lookup (node, c, result);
       break;
     case SS_STEP_ROLLBACK:
@@ -266,7 +265,7 @@
     return SS_VERDICT_NOT_RUN;
   switch (job->step)
     {
-    case SS_STEP_PRELUDE:
+    case SS_STEP_SETUP:
       return SS_VERDICT_NOT_RUN;
     case SS_STEP_CLAIM:
       /* COMMIT was not sent, unless the statement text contains it. */
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -8,7 +8,7 @@
  * claim, and proceeds only when every holder has adopted the claim, which its
  * reply or its object shows, or when all leases have expired
  * (ss_lease_is_released).  Where the platform answers neither a VM nor any that
- * it hears, the VM asks a majority of the servers instead (hold.c).
+ * it hears, the VM asks a majority of the servers instead (quorum.c).
  */
 #include <string.h>
 
@@ -55,7 +55,7 @@
 {
   bool wanted = false;
 
-  if (node->vms_listing)
+  if (node->vm_list_outstanding)
     return;
   g_tree_foreach (node->promotions, begin_listing, &wanted);
   if (wanted)
@@ -65,10 +65,10 @@
 void
 ss_lease_list_vms (SsNode *node)
 {
-  if (node->vms_listing)
+  if (node->vm_list_outstanding)
     return;
-  node->vms_listing = true;
-  ss_node_push (node, SS_ACTION_PLATFORM_LIST)->id = SS_FEED_VMS;
+  node->vm_list_outstanding = true;
+  ss_node_push (node, SS_ACTION_PLATFORM_LIST)->id = SS_WATCH_VMS;
 }
 
 static gboolean
@@ -88,7 +88,7 @@
   SsVmListState state
       = outcome == SS_PLATFORM_DONE ? SS_VM_LIST_RECEIVED : SS_VM_LIST_WANTED;
 
-  node->vms_listing = false;
+  node->vm_list_outstanding = false;
   g_tree_foreach (node->promotions, end_listing, &state);
 }
 
@@ -168,7 +168,7 @@
       guint choice
           = (guint) g_rand_int_range (node->rand, 0, (gint32) s.up->len);
 
-      node->lease_peer_ms = node->now_ms;
+      node->lease_peer_requested_ms = node->now_ms;
       ask.nonce = ++node->lease_nonce;
       e.body_case = SS__PEER__ENVELOPE__BODY_LEASE_ASK;
       e.lease_ask = &ask;
@@ -181,34 +181,35 @@
 request_group_list (SsNode *node)
 {
   node->lease_due_ms = node->now_ms + LIST_TIMEOUT_MS;
-  node->lease_asked_ms = node->now_ms;
-  ss_node_push (node, SS_ACTION_PLATFORM_LIST)->id = SS_FEED_GROUPS;
+  node->lease_requested_ms = node->now_ms;
+  ss_node_push (node, SS_ACTION_PLATFORM_LIST)->id = SS_WATCH_GROUPS;
 }
 
 void
-ss_lease_ask (SsNode *node, const char *from, const Ss__Peer__LeaseAsk *ask)
+ss_lease_handle_ask (SsNode *node, const char *from,
+                     const Ss__Peer__LeaseAsk *ask)
 {
-  SsLeaseAsker *asker = g_new0 (SsLeaseAsker, 1);
+  SsLeaseRequest *asker = g_new0 (SsLeaseRequest, 1);
 
   asker->vm = g_strdup (from);
   asker->nonce = ask->nonce;
   asker->asked_ms = node->now_ms;
-  g_queue_push_tail (&node->lease_askers, asker);
-  if (!node->lease_asked_ms)
+  g_queue_push_tail (&node->lease_requests, asker);
+  if (!node->lease_requested_ms)
     request_group_list (node);
 }
 
 void
-ss_lease_asker_free (gpointer data)
+ss_lease_request_free (gpointer data)
 {
-  SsLeaseAsker *asker = data;
+  SsLeaseRequest *asker = data;
 
   g_free (asker->vm);
   g_free (asker);
 }
 
 static void
-send_reply (SsNode *node, const SsLeaseAsker *asker, const SsEvent *list)
+send_reply (SsNode *node, const SsLeaseRequest *asker, const SsEvent *list)
 {
   uint32_t count = list->platform_objects.object_count;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -242,14 +243,14 @@
 static void
 answer_askers (SsNode *node, const SsEvent *list, int64_t asked_ms)
 {
-  SsLeaseAsker *asker;
+  SsLeaseRequest *asker;
 
-  while ((asker = g_queue_peek_head (&node->lease_askers))
+  while ((asker = g_queue_peek_head (&node->lease_requests))
          && asker->asked_ms <= asked_ms)
     {
       if (list->platform_objects.outcome == SS_PLATFORM_DONE)
         send_reply (node, asker, list);
-      ss_lease_asker_free (g_queue_pop_head (&node->lease_askers));
+      ss_lease_request_free (g_queue_pop_head (&node->lease_requests));
     }
   if (asker)
     request_group_list (node);
@@ -263,7 +264,7 @@
     return;
   if (node->platform_down)
     renew_through_peer (node);
-  if (!node->lease_asked_ms)
+  if (!node->lease_requested_ms)
     request_group_list (node);
   else
     node->lease_due_ms = node->now_ms + RENEW_RETRY_MS;
@@ -284,33 +285,33 @@
     return;
   group->confirmed_ms = MAX (group->confirmed_ms, asked_ms);
   if (ss_lease_holds (node, group))
-    ss_hold_leased (node, group);
+    ss_quorum_lease_obtained (node, group);
 }
 
 void
-ss_lease_reply (SsNode *node, const Ss__Peer__LeaseReply *reply)
+ss_lease_handle_reply (SsNode *node, const Ss__Peer__LeaseReply *reply)
 {
   if (reply->nonce != node->lease_nonce)
     {
       ss_node_count (node, SS_COUNTER_LATE_ANSWERS);
       return;
     }
-  node->lease_due_ms = node->lease_peer_ms + RENEW_MS;
+  node->lease_due_ms = node->lease_peer_requested_ms + RENEW_MS;
   for (size_t i = 0; i < reply->n_groups; i++)
     confirm_lease (node, reply->groups[i]->group, reply->groups[i]->version,
-                   node->lease_peer_ms);
+                   node->lease_peer_requested_ms);
 }
 
 void
-ss_lease_listed (SsNode *node, const SsEvent *e)
+ss_lease_handle_list (SsNode *node, const SsEvent *e)
 {
-  int64_t asked_ms = node->lease_asked_ms;
+  int64_t asked_ms = node->lease_requested_ms;
 
-  if (e->platform_objects.feed == SS_FEED_VMS)
+  if (e->platform_objects.feed == SS_WATCH_VMS)
     handle_vm_list (node, e->platform_objects.outcome);
-  if (e->platform_objects.feed != SS_FEED_GROUPS || !node->lease_asked_ms)
+  if (e->platform_objects.feed != SS_WATCH_GROUPS || !node->lease_requested_ms)
     return;
-  node->lease_asked_ms = 0;
+  node->lease_requested_ms = 0;
   if (e->platform_objects.outcome == SS_PLATFORM_DONE)
     {
       node->lease_due_ms = asked_ms + RENEW_MS;
@@ -336,8 +337,8 @@
   const SsGroup *group = ss_config_group (&node->config, p->group);
   int64_t since_ms = p->since_ms;
 
-  if (group && group->unnamed_ms)
-    since_ms = MIN (since_ms, group->unnamed_ms);
+  if (group && group->no_primary_since_ms)
+    since_ms = MIN (since_ms, group->no_primary_since_ms);
   return node->now_ms - since_ms >= SS_LEASE_MS + CLOCK_DRIFT_MS;
 }
 
@@ -395,8 +396,8 @@
 }
 
 void
-ss_lease_claim_ask (SsNode *node, const char *from,
-                    const Ss__Peer__ClaimAsk *ask)
+ss_lease_handle_claim_ask (SsNode *node, const char *from,
+                           const Ss__Peer__ClaimAsk *ask)
 {
   const SsGroup *group = ss_config_group (&node->config, ask->group);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -412,8 +413,8 @@
 }
 
 void
-ss_lease_claim_reply (SsNode *node, const char *from,
-                      const Ss__Peer__ClaimReply *reply)
+ss_lease_handle_claim_reply (SsNode *node, const char *from,
+                             const Ss__Peer__ClaimReply *reply)
 {
   SsPromotion *p = g_tree_lookup (node->promotions, reply->group);
 
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -79,8 +79,8 @@
 }
 
 void
-ss_members_heard (SsMembers *members, SsMember *member, bool leaving,
-                  char **heard, size_t count, int64_t now_ms)
+ss_members_record_heartbeat (SsMembers *members, SsMember *member, bool leaving,
+                             char **heard, size_t count, int64_t now_ms)
 {
   member->heard_ms = now_ms;
   if (member->leaving != leaving)
@@ -92,16 +92,17 @@
 }
 
 void
-ss_members_lost (SsMembers *members, const char *vm, int64_t now_ms)
+ss_members_record_disconnect (SsMembers *members, const char *vm,
+                              int64_t now_ms)
 {
   SsMember *m = ss_members_find (members, vm);
-  int64_t heard_ms
-      = now_ms - SS_MEMBER_SILENCE_MS + SS_MEMBER_DISCONNECT_TIMEOUT_MS;
+  int64_t heard_ms = now_ms - SS_MEMBER_HEARTBEAT_TIMEOUT_MS
+                     + SS_MEMBER_DISCONNECT_TIMEOUT_MS;
 
   if (!m)
     return;
   m->heard_ms = MIN (m->heard_ms, heard_ms);
-  m->reported_ms = MIN (m->reported_ms, now_ms - SS_MEMBER_REPORTED_MS
+  m->reported_ms = MIN (m->reported_ms, now_ms - SS_MEMBER_REPORT_TIMEOUT_MS
                                             + SS_MEMBER_DISCONNECT_TIMEOUT_MS);
 }
 
@@ -117,7 +118,7 @@
 static bool
 has_timed_out (const SsMember *m, int64_t now_ms)
 {
-  return now_ms - m->heard_ms >= SS_MEMBER_SILENCE_MS;
+  return now_ms - m->heard_ms >= SS_MEMBER_HEARTBEAT_TIMEOUT_MS;
 }
 
 static gboolean
@@ -136,13 +137,13 @@
 }
 
 void
-ss_members_told (SsMembers *members, int64_t now_ms)
+ss_members_record_relay_answer (SsMembers *members, int64_t now_ms)
 {
   members->relay_answer_ms = now_ms;
 }
 
 bool
-ss_members_is_unsure (const SsMembers *members, int64_t now_ms)
+ss_members_in_relay_grace (const SsMembers *members, int64_t now_ms)
 {
   return members->relayed && now_ms < members->relay_grace_until_ms;
 }
@@ -151,7 +152,7 @@
 detect_lost_relays (SsMembers *members, int64_t now_ms)
 {
   if (!members->relay_answer_ms
-      || now_ms - members->relay_answer_ms < SS_MEMBER_REPORTED_MS)
+      || now_ms - members->relay_answer_ms < SS_MEMBER_REPORT_TIMEOUT_MS)
     return;
   members->lost_relay_answer_ms = members->relay_answer_ms;
   members->relay_answer_ms = 0;
@@ -165,9 +166,10 @@
 static bool
 keeps_liveness (const SsMembers *members, const SsMember *m, int64_t now_ms)
 {
-  return ss_members_is_unsure (members, now_ms) && m->live
+  return ss_members_in_relay_grace (members, now_ms) && m->live
          && strcmp (m->failure_domain, members->failure_domain) == 0
-         && members->lost_relay_answer_ms - m->heard_ms >= SS_MEMBER_SILENCE_MS;
+         && members->lost_relay_answer_ms - m->heard_ms
+                >= SS_MEMBER_HEARTBEAT_TIMEOUT_MS;
 }
 
 static bool
@@ -178,7 +180,7 @@
   if (strcmp (m->vm, members->self) == 0)
     return true;
   if (!has_timed_out (m, now_ms)
-      || now_ms - m->reported_ms < SS_MEMBER_REPORTED_MS)
+      || now_ms - m->reported_ms < SS_MEMBER_REPORT_TIMEOUT_MS)
     return true;
   if (members->relayed)
     return keeps_liveness (members, m, now_ms);
@@ -207,7 +209,8 @@
   (void) key;
   if (live != m->live)
     g_ptr_array_add (u->changed, m);
-  else if (!live && !m->listed && u->now_ms - m->heard_ms > SS_MEMBER_FORGET_MS)
+  else if (!live && !m->listed
+           && u->now_ms - m->heard_ms > SS_MEMBER_RETENTION_MS)
     g_ptr_array_add (u->forgotten, m);
   return FALSE;
 }
@@ -339,7 +342,7 @@
 }
 
 bool
-ss_members_is_settled (SsMembers *members)
+ss_members_is_converged (SsMembers *members)
 {
   Convergence s = { members->failure_domain, true };
 
@@ -380,8 +383,8 @@
 }
 
 void
-ss_members_reported (SsMembers *members, SsMember *member, bool leaving,
-                     bool platform_up, int64_t now_ms)
+ss_members_record_report (SsMembers *members, SsMember *member, bool leaving,
+                          bool platform_up, int64_t now_ms)
 {
   member->reported_ms = now_ms;
   member->platform_up = platform_up;
@@ -405,7 +408,7 @@
 static bool
 may_relay_live (const Relays *r, const SsMember *m)
 {
-  if (!m->live || !ss_members_is_unsure (r->members, r->now_ms)
+  if (!m->live || !ss_members_in_relay_grace (r->members, r->now_ms)
       || strcmp (m->failure_domain, r->members->failure_domain) != 0)
     return m->live;
   return strcmp (m->vm, r->members->self) == 0 || !has_timed_out (m, r->now_ms);
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -14,15 +14,15 @@
 #include <stdint.h>
 
 /* Timeout of heartbeats. */
-#define SS_MEMBER_SILENCE_MS 800
+#define SS_MEMBER_HEARTBEAT_TIMEOUT_MS 800
 /* What is left of the timeouts after a connection broke. */
 #define SS_MEMBER_DISCONNECT_TIMEOUT_MS 250
 /* A VM that is neither listed nor heard is removed after this time. */
-#define SS_MEMBER_FORGET_MS 30000
+#define SS_MEMBER_RETENTION_MS 30000
 /* A relay's report that a VM is live is valid for this long: two report
  * intervals plus the time in transit.
  */
-#define SS_MEMBER_REPORTED_MS 1200
+#define SS_MEMBER_REPORT_TIMEOUT_MS 1200
 /* Up to this many VMs send heartbeats to all others at negligible cost; more
  * use relays.
  */
@@ -67,11 +67,11 @@
   char *failure_domain;
   uint64_t generation; /* incremented when a VM's liveness or leaving changes */
   bool relayed;        /* too many VMs for a full mesh: relays report */
-  bool converged;      /* see ss_members_is_settled */
+  bool converged;      /* see ss_members_is_converged */
   bool converged_known;
   int64_t relay_answer_ms;      /* when a relay last answered; 0: relays lost */
   int64_t lost_relay_answer_ms; /* relay_answer_ms when the relays were lost */
-  int64_t relay_grace_until_ms; /* see ss_members_is_unsure */
+  int64_t relay_grace_until_ms; /* see ss_members_in_relay_grace */
 } SsMembers;
 
 void ss_members_init (SsMembers *members, const char *vm,
@@ -87,19 +87,21 @@
                           const char *failure_domain, const char *ip,
                           uint16_t peer_port);
 
-/* ss_members_heard: records a heartbeat of MEMBER, which receives the
- * heartbeats of the COUNT VMs in HEARD.
+/* ss_members_record_heartbeat: records a heartbeat of MEMBER, which receives
+ * the heartbeats of the COUNT VMs in HEARD.
  */
-void ss_members_heard (SsMembers *members, SsMember *member, bool leaving,
-                       char **heard, size_t count, int64_t now_ms);
-/* ss_members_lost: records that a connection to VM broke, which shortens its
- * timeouts to SS_MEMBER_DISCONNECT_TIMEOUT_MS.
+void ss_members_record_heartbeat (SsMembers *members, SsMember *member,
+                                  bool leaving, char **heard, size_t count,
+                                  int64_t now_ms);
+/* ss_members_record_disconnect: records that a connection to VM broke, which
+ * shortens its timeouts to SS_MEMBER_DISCONNECT_TIMEOUT_MS.
  */
-void ss_members_lost (SsMembers *members, const char *vm, int64_t now_ms);
+void ss_members_record_disconnect (SsMembers *members, const char *vm,
+                                   int64_t now_ms);
 
 /* ss_members_update: re-evaluates liveness and calls CHANGED for each VM that
  * became live or dead.  Removes dead VMs that are not listed and were not heard
- * for SS_MEMBER_FORGET_MS.
+ * for SS_MEMBER_RETENTION_MS.
  */
 void ss_members_update (SsMembers *members, int64_t now_ms,
                         void (*changed) (void *data, const SsMember *member),
@@ -115,18 +117,19 @@
  */
 uint32_t ss_members_rank (const SsMembers *members, const char *failure_domain,
                           const char *subject);
-/* ss_members_reported: records a relay's report that MEMBER is live. */
-void ss_members_reported (SsMembers *members, SsMember *member, bool leaving,
-                          bool platform_up, int64_t now_ms);
-/* ss_members_told: records that a relay answered this VM, or that this VM is a
- * relay itself.
- */
-void ss_members_told (SsMembers *members, int64_t now_ms);
-/* ss_members_is_unsure: whether the grace period after the loss of all relays
- * runs.  Members of this VM's failure domain that were known through those
- * relays keep their liveness meanwhile; the absence of others proves nothing.
- */
-bool ss_members_is_unsure (const SsMembers *members, int64_t now_ms);
+/* ss_members_record_report: records a relay's report that MEMBER is live. */
+void ss_members_record_report (SsMembers *members, SsMember *member,
+                               bool leaving, bool platform_up, int64_t now_ms);
+/* ss_members_record_relay_answer: records that a relay answered this VM, or
+ * that this VM is a relay itself.
+ */
+void ss_members_record_relay_answer (SsMembers *members, int64_t now_ms);
+/* ss_members_in_relay_grace: whether the grace period after the loss of all
+ * relays runs.  Members of this VM's failure domain that were known through
+ * those relays keep their liveness meanwhile; the absence of others proves
+ * nothing.
+ */
+bool ss_members_in_relay_grace (const SsMembers *members, int64_t now_ms);
 /* ss_members_relays: adds to OUT the names (borrowed) of the VMs that relay
  * for FAILURE_DOMAIN.
  */
@@ -150,10 +153,10 @@
                                     const char *subject);
 /* ss_members_set_listed: sets whether the platform lists MEMBER as live. */
 void ss_members_set_listed (SsMembers *members, SsMember *member, bool listed);
-/* ss_members_is_settled: whether every VM of this failure domain that the
+/* ss_members_is_converged: whether every VM of this failure domain that the
  * platform lists is live.  The result is cached until membership changes, since
  * it is needed for each statement.
  */
-bool ss_members_is_settled (SsMembers *members);
+bool ss_members_is_converged (SsMembers *members);
 
 #endif
--- a/src/core/message.c
+++ b/src/core/message.c
@@ -4,11 +4,11 @@
 #include "core/internal.h"
 
 const char *
-ss_feed_prefix (SsFeed feed)
+ss_watch_prefix (SsWatch feed)
 {
   static const char *const prefixes[] = {
 #define X(id, prefix) prefix,
-    SS_FEEDS (X)
+    SS_WATCHES (X)
 #undef X
   };
 
@@ -175,7 +175,7 @@
 const char *
 ss_node_owner (SsNode *node, SsTarget *target)
 {
-  if (target->gone)
+  if (target->removed)
     return NULL;
   if (target->owner_generation != node->members.generation)
     {
@@ -184,7 +184,7 @@
       /* The failure domain has no live VM: a VM of any other one owns its
        * targets.
        */
-      if (!target->owner && node->params.owners_anywhere)
+      if (!target->owner && node->params.cross_domain_owners)
         target->owner = ss_members_owner (&node->members, NULL, target->name);
       target->owner_generation = node->members.generation;
     }
@@ -200,8 +200,8 @@
 }
 
 void
-ss_node_take_state (SsNode *node, SsTarget *target, const SsServerState *state,
-                    uint32_t age_ms)
+ss_node_update_state (SsNode *node, SsTarget *target,
+                      const SsServerState *state, uint32_t age_ms)
 {
   int64_t asked_ms = node->now_ms - age_ms;
 
--- a/src/core/kept.c
+++ b/src/core/multiplex.c
@@ -52,7 +52,7 @@
 
   if (!job->is_read || !job->floor.offset)
     return text;
-  whole = node->dialect->at_floor (node->dialect, job->floor, text);
+  whole = node->dialect->add_floor (node->dialect, job->floor, text);
   g_free (text);
   return whole;
 }
@@ -64,14 +64,14 @@
 send_next (SsNode *node, SsConnection *c)
 {
   SsJob *job = c->job;
-  char *text = g_queue_pop_head (&c->due);
+  char *text = g_queue_pop_head (&c->setup_queue);
 
   take_slot (c, job->item.queue_class);
   if (text)
     {
-      g_free (c->prelude);
-      c->prelude = g_strdup (text);
-      send_query (node, c, SS_STEP_PRELUDE, NULL, text);
+      g_free (c->last_setup);
+      c->last_setup = g_strdup (text);
+      send_query (node, c, SS_STEP_SETUP, NULL, text);
       return;
     }
   job->sent = true;
@@ -89,16 +89,16 @@
 
   if (!ss_replay_plan (node->dialect, &c->held,
                        (const char *const *) job->values, job->shape,
-                       job->shape_is_read, job->pinned, &c->due))
+                       job->shape_is_read, job->pinned, &c->setup_queue))
     {
-      job->step = SS_STEP_PRELUDE;
+      job->step = SS_STEP_SETUP;
       ss_job_give_up (node, c, SS_REASON_TRANSACTION_LOST);
       return;
     }
   if (job->begins)
     {
       begin = node->dialect->begin (node->dialect, job->transaction_is_read);
-      g_queue_push_tail (&c->due, with_floor (node, job, begin));
+      g_queue_push_tail (&c->setup_queue, with_floor (node, job, begin));
     }
   send_next (node, c);
 }
@@ -106,9 +106,9 @@
 void
 ss_multiplex_resend (SsNode *node, SsConnection *c)
 {
-  c->again_ms = 0;
-  if (c->job->step == SS_STEP_PRELUDE)
-    g_queue_push_head (&c->due, g_steal_pointer (&c->prelude));
+  c->resend_at_ms = 0;
+  if (c->job->step == SS_STEP_SETUP)
+    g_queue_push_head (&c->setup_queue, g_steal_pointer (&c->last_setup));
   send_next (node, c);
 }
 
@@ -120,9 +120,9 @@
 end_not_run (SsNode *node, SsConnection *c, SsReason reason)
 {
   const SsJob *job = c->job;
-  bool is_begin = job->begins && g_queue_is_empty (&c->due);
+  bool is_begin = job->begins && g_queue_is_empty (&c->setup_queue);
 
-  if (job->step == SS_STEP_PRELUDE && !is_begin)
+  if (job->step == SS_STEP_SETUP && !is_begin)
     ss_job_give_up (node, c, reason);
   else
     ss_job_end (node, c, SS_VERDICT_NOT_RUN, reason, SS_RETRY_SOON_MS);
@@ -146,7 +146,7 @@
       end_not_run (node, c, reason);
       return;
     }
-  c->again_ms = node->now_ms + pause_ms;
+  c->resend_at_ms = node->now_ms + pause_ms;
   ss_pool_release_slot (c, -1);
   ss_job_dispatch (node, c->owned);
 }
@@ -156,7 +156,7 @@
 static void
 handle_fault (SsNode *node, SsConnection *c, SsTargetFault fault)
 {
-  SsOwned *owned = c->owned;
+  SsOwnedTarget *owned = c->owned;
 
   switch (fault)
     {
@@ -170,13 +170,13 @@
       owned->target->state.role = SS_SERVER_REPLICA;
       ss_job_end (node, c, SS_VERDICT_NOT_RUN, SS_REASON_NO_PRIMARY,
                   SS_RETRY_PROMOTION_MS);
-      ss_monitor_poll_soon (node, owned);
+      ss_target_monitor_poll_soon (node, owned);
       break;
     case SS_TARGET_FAULT_UNPREPARED:
       ss_job_give_up (node, c, SS_REASON_CONNECTION_LOST);
       break;
     default:
-      if (c->job->step == SS_STEP_PRELUDE)
+      if (c->job->step == SS_STEP_SETUP)
         ss_job_give_up (node, c, SS_REASON_CONNECTION_LOST);
       else
         ss_job_end (node, c, SS_VERDICT_NOT_RUN, SS_REASON_TARGET_ERROR, 0);
@@ -190,7 +190,7 @@
 {
   if (!result->ok)
     handle_fault (node, c, result->fault);
-  else if (c->job->step == SS_STEP_PRELUDE)
+  else if (c->job->step == SS_STEP_SETUP)
     send_next (node, c);
   else
     ss_job_end_committed (node, c);
@@ -213,7 +213,7 @@
 void
 ss_multiplex_end_transaction (SsNode *node, SsConnection *c)
 {
-  if (ss_dialect_keeps_sessions (node->dialect))
+  if (ss_dialect_multiplexes_sessions (node->dialect))
     ss_multiplex_roll_back (node, c);
   else
     ss_pool_close (node, c);
@@ -223,7 +223,7 @@
 ss_multiplex_rolled_back (SsNode *node, SsConnection *c,
                           const SsTargetResult *result)
 {
-  SsOwned *owned = c->owned;
+  SsOwnedTarget *owned = c->owned;
 
   c->rolls_back = false;
   c->since_ms = node->now_ms;
@@ -241,9 +241,9 @@
   SsTarget *t = c->owned->target;
 
   t->state_ms = MAX (t->state_ms, c->sent_ms);
-  ss_hold_note (node, c->owned, c->sent_ms, result->applied);
-  if (c->owned->asks->len)
-    ss_monitor_answer (node, c->owned);
+  ss_quorum_note_position (node, c->owned, c->sent_ms, result->applied);
+  if (c->owned->status_requests->len)
+    ss_target_monitor_answer_requests (node, c->owned);
 }
 
 void
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -16,10 +16,10 @@
   SsPromotion *p = data;
 
   g_free (p->group);
-  g_free (p->wanted);
+  g_free (p->requested_server);
   g_free (p->leaving);
   g_free (p->chosen);
-  g_hash_table_destroy (p->raised);
+  g_hash_table_destroy (p->raised_positions);
   g_clear_pointer (&p->released, g_hash_table_destroy);
   g_free (p);
 }
@@ -29,9 +29,9 @@
 {
   memset (node, 0, sizeof *node);
   node->params = *params;
-  ss_pace_fill (&node->params.pace);
-  if (!node->params.feeds)
-    node->params.feeds = 1U << SS_FEED_ALL;
+  ss_timing_fill_defaults (&node->params.timing);
+  if (!node->params.watches)
+    node->params.watches = 1U << SS_WATCH_ALL;
   node->now_ms = now_ms;
   node->started_ms = now_ms;
   node->ticked_ms = now_ms;
@@ -39,24 +39,25 @@
   node->dialect = params->dialect ? params->dialect : ss_dialect_sql ();
   /* Random start, so that ids of different incarnations do not collide. */
   node->next_request = (uint64_t) g_rand_int (node->rand) << 32;
-  node->next_ask = (uint64_t) g_rand_int (node->rand) << 32;
+  node->next_status_request = (uint64_t) g_rand_int (node->rand) << 32;
   g_queue_init (&node->actions);
   g_queue_init (&node->local);
   ss_config_init (&node->config);
   ss_members_init (&node->members, params->vm, params->failure_domain,
                    params->ip, params->peer_port, now_ms);
-  ss_budget_init (&node->budget);
-  node->removals
+  ss_retry_budget_init (&node->retry_budget);
+  node->pending_deletions
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_queue_init (&node->lease_askers);
+  g_queue_init (&node->lease_requests);
   node->leases
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   ss_relay_init (node);
-  ss_opens_init (node);
+  ss_startup_init (node);
   ss_entry_init (node);
   ss_owner_init (node);
-  ss_operate_init (node);
-  node->marks = g_tree_new_full (ss_names_compare, NULL, NULL, ss_marks_free);
+  ss_admin_init (node);
+  node->confirmed_positions
+      = g_tree_new_full (ss_names_compare, NULL, NULL, ss_confirmed_free);
   node->promotions
       = g_tree_new_full (ss_names_compare, NULL, NULL, promotion_free);
 }
@@ -69,17 +70,17 @@
 
   ss_entry_finish (node);
   ss_owner_finish (node);
-  ss_operate_finish (node);
+  ss_admin_finish (node);
   ss_relay_finish (node);
-  ss_opens_finish (node);
+  ss_startup_finish (node);
   while (ss_node_take_action (node, &action))
     ss_action_clear (&action);
   while ((bytes = g_queue_pop_head (&node->local)))
     g_bytes_unref (bytes);
-  g_tree_destroy (node->marks);
-  g_hash_table_destroy (node->removals);
+  g_tree_destroy (node->confirmed_positions);
+  g_hash_table_destroy (node->pending_deletions);
   g_hash_table_destroy (node->leases);
-  g_queue_clear_full (&node->lease_askers, ss_lease_asker_free);
+  g_queue_clear_full (&node->lease_requests, ss_lease_request_free);
   g_tree_destroy (node->promotions);
   ss_config_finish (&node->config);
   ss_members_finish (&node->members);
@@ -118,18 +119,18 @@
     return;
   ss_state_unpack (report->state, &state);
   if (!ss_node_is_owner (node, t))
-    ss_node_take_state (node, t, &state, report->state->age_ms);
+    ss_node_update_state (node, t, &state, report->state->age_ms);
   if (report->mark)
-    ss_marks_told (node, t->group, ss_position_unpack (report->mark),
-                   report->mark_age_ms);
+    ss_confirmed_handle_unsolicited (
+        node, t->group, ss_position_unpack (report->mark), report->mark_age_ms);
   if (report->ask)
-    ss_hold_report (node, t, report->ask, &state);
+    ss_quorum_handle_status (node, t, report->ask, &state);
   group = ss_config_group (&node->config, t->group);
   if (!group)
     return;
-  ss_hold_check (node, group);
-  if (node->view_waiters)
-    ss_pending_wake (node, group->name, SS_WAIT_VIEW);
+  ss_quorum_check (node, group);
+  if (node->status_waiters)
+    ss_pending_wake (node, group->name, SS_WAIT_STATUS);
 }
 
 static void
@@ -138,13 +139,13 @@
   switch (e->body_case)
     {
     case SS__PEER__ENVELOPE__BODY_HEARTBEAT:
-      ss_spread_heartbeat (node, e->heartbeat);
+      ss_peers_handle_heartbeat (node, e->heartbeat);
       break;
     case SS__PEER__ENVELOPE__BODY_RUN:
       ss_job_run (node, e->from, e->run);
       break;
     case SS__PEER__ENVELOPE__BODY_RUN_REPLY:
-      ss_entry_reply (node, e->from, e->run_reply);
+      ss_entry_handle_reply (node, e->from, e->run_reply);
       break;
     case SS__PEER__ENVELOPE__BODY_CANCEL:
       ss_owner_cancel (node, e->from, e->cancel->request);
@@ -153,61 +154,61 @@
       ss_owner_session_end (node, e->from, e->session_end);
       break;
     case SS__PEER__ENVELOPE__BODY_STATUS_ASK:
-      ss_monitor_ask (node, e->from, e->status_ask);
+      ss_target_monitor_handle_status_ask (node, e->from, e->status_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_STATUS_REPORT:
       handle_status_report (node, e->status_report);
       break;
     case SS__PEER__ENVELOPE__BODY_SUBSCRIBE:
-      ss_monitor_subscribe (node, e->from, e->subscribe);
+      ss_target_monitor_handle_subscribe (node, e->from, e->subscribe);
       break;
     case SS__PEER__ENVELOPE__BODY_MARK_ASK:
-      ss_hold_round_ask (node, e->from, e->mark_ask);
+      ss_quorum_handle_mark_ask (node, e->from, e->mark_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_MARK_REPLY:
-      ss_marks_reply (node, e->mark_reply);
+      ss_confirmed_handle_reply (node, e->mark_reply);
       break;
     case SS__PEER__ENVELOPE__BODY_RAISE_ASK:
-      ss_monitor_raise (node, e->from, e->raise_ask);
+      ss_target_monitor_handle_raise_ask (node, e->from, e->raise_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_CLAIM_ASK:
-      ss_lease_claim_ask (node, e->from, e->claim_ask);
+      ss_lease_handle_claim_ask (node, e->from, e->claim_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_CLAIM_REPLY:
-      ss_lease_claim_reply (node, e->from, e->claim_reply);
+      ss_lease_handle_claim_reply (node, e->from, e->claim_reply);
       break;
     case SS__PEER__ENVELOPE__BODY_DIGEST:
-      ss_relay_digest (node, e->from, e->digest);
+      ss_relay_handle_digest (node, e->from, e->digest);
       break;
     case SS__PEER__ENVELOPE__BODY_DOMAIN_REPORT:
-      ss_relay_report (node, e->from, e->domain_report);
+      ss_relay_handle_report (node, e->from, e->domain_report);
       break;
     case SS__PEER__ENVELOPE__BODY_LEASE_ASK:
-      ss_lease_ask (node, e->from, e->lease_ask);
+      ss_lease_handle_ask (node, e->from, e->lease_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_LEASE_REPLY:
-      ss_lease_reply (node, e->lease_reply);
+      ss_lease_handle_reply (node, e->lease_reply);
       break;
     case SS__PEER__ENVELOPE__BODY_RAISE_REPLY:
-      ss_promote_raised (node, e->raise_reply);
+      ss_term_raise_handle_reply (node, e->raise_reply);
       break;
     case SS__PEER__ENVELOPE__BODY_CONFIG_PULL:
-      ss_adopt_pull (node, e->from, e->config_pull);
+      ss_config_sync_handle_pull (node, e->from, e->config_pull);
       break;
     case SS__PEER__ENVELOPE__BODY_CONFIG_PUSH:
-      ss_adopt_push (node, e->from, e->config_push);
+      ss_config_sync_handle_push (node, e->from, e->config_push);
       break;
     case SS__PEER__ENVELOPE__BODY_ROWS_ASK:
-      ss_show_rows_ask (node, e->from, e->rows_ask);
+      ss_admin_show_handle_rows_ask (node, e->from, e->rows_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_ROWS_REPLY:
-      ss_show_rows_reply (node, e->from, e->rows_reply);
+      ss_admin_show_handle_rows_reply (node, e->from, e->rows_reply);
       break;
     case SS__PEER__ENVELOPE__BODY_STOP_ASK:
-      ss_operate_stop_ask (node, e->from, e->stop_ask);
+      ss_admin_handle_stop_ask (node, e->from, e->stop_ask);
       break;
     case SS__PEER__ENVELOPE__BODY_STOP_REPLY:
-      ss_operate_stop_reply (node, e->stop_reply);
+      ss_admin_handle_stop_reply (node, e->stop_reply);
       break;
     default:
       break;
@@ -249,12 +250,12 @@
 retry_marks (gpointer key, gpointer value, gpointer data)
 {
   (void) key;
-  ss_marks_retry (data, value);
+  ss_confirmed_retry (data, value);
   return FALSE;
 }
 
 void
-ss_node_begin_stop (SsNode *node)
+ss_node_begin_shutdown (SsNode *node)
 {
   SsMember *self = ss_members_find (&node->members, node->params.vm);
 
@@ -268,8 +269,8 @@
   ss_node_log (node, SS_EVENT_LOG_STOPPING, node->params.vm,
                "bound_ms=%" G_GINT64_FORMAT, node->params.stop_bound_ms);
   ss_owner_update (node);
-  ss_directory_leave (node);
-  ss_spread_beat_now (node);
+  ss_directory_deregister (node);
+  ss_peers_send_heartbeat (node);
 }
 
 static void
@@ -323,18 +324,18 @@
 tick_interval_ms (const SsNode *node)
 {
   if (has_status_requests (node))
-    return node->params.pace.tick_asked_ms;
-  return g_hash_table_size (node->requests) ? node->params.pace.tick_busy_ms
-                                            : node->params.pace.tick_idle_ms;
+    return node->params.timing.tick_asked_ms;
+  return g_hash_table_size (node->requests) ? node->params.timing.tick_busy_ms
+                                            : node->params.timing.tick_idle_ms;
 }
 
 static gboolean
 find_status_requests (gpointer key, gpointer value, gpointer data)
 {
-  const SsOwned *o = value;
+  const SsOwnedTarget *o = value;
 
   (void) key;
-  if (o->asks->len == 0 && !o->raise_term)
+  if (o->status_requests->len == 0 && !o->raise_term)
     return FALSE;
   *(bool *) data = true;
   return TRUE;
@@ -355,15 +356,15 @@
   if (node->now_ms - node->ticked_ms < tick_interval_ms (node))
     return;
   node->ticked_ms = node->now_ms;
-  ss_spread_tick (node);
-  ss_opens_tick (node);
+  ss_peers_tick (node);
+  ss_startup_tick (node);
   ss_owner_tick (node);
   ss_promote_tick (node);
-  ss_operate_tick (node);
+  ss_admin_tick (node);
   ss_directory_tick (node);
   ss_lease_tick (node);
   ss_isolation_tick (node);
-  g_tree_foreach (node->marks, retry_marks, node);
+  g_tree_foreach (node->confirmed_positions, retry_marks, node);
   ss_pending_tick (node);
   if (node->stopping)
     tick_stop (node);
@@ -380,7 +381,7 @@
 static void
 handle_peer_lost (SsNode *node, const char *vm)
 {
-  ss_members_lost (&node->members, vm, node->now_ms);
+  ss_members_record_disconnect (&node->members, vm, node->now_ms);
   ss_pending_vm_lost (node, vm);
   ss_owner_vm_lost (node, vm);
 }
@@ -417,38 +418,39 @@
       ss_owner_closed (node, e);
       break;
     case SS_EVENT_TARGET_RESULT:
-      ss_outcome_result (node, e->target_result.connection,
-                         e->target_result.result);
+      ss_job_result (node, e->target_result.connection,
+                     e->target_result.result);
       break;
     case SS_EVENT_PLATFORM_OBJECTS:
-      ss_feeds_objects (node, e);
+      ss_watch_handle_objects (node, e);
       break;
     case SS_EVENT_PLATFORM_PROMOTED:
-      ss_promote_called (node, e->platform_object.call,
-                         e->platform_object.outcome);
+      ss_coordinator_handle_call (node, e->platform_object.call,
+                                  e->platform_object.outcome);
       break;
     case SS_EVENT_PLATFORM_OBJECT:
-      ss_promote_object (node, e->platform_object.call,
-                         e->platform_object.outcome,
-                         &e->platform_object.object);
-      ss_operate_object (node, e->platform_object.call,
-                         e->platform_object.outcome,
-                         &e->platform_object.object);
-      ss_directory_object (node, e->platform_object.outcome,
-                           &e->platform_object.object);
+      ss_promote_handle_object (node, e->platform_object.call,
+                                e->platform_object.outcome,
+                                &e->platform_object.object);
+      ss_admin_handle_object (node, e->platform_object.call,
+                              e->platform_object.outcome,
+                              &e->platform_object.object);
+      ss_directory_handle_object (node, e->platform_object.outcome,
+                                  &e->platform_object.object);
       break;
     case SS_EVENT_PLATFORM_VMS:
-      node->vms_asked = false;
+      node->vms_requested = false;
       if (e->platform_vms.json)
-        ss_feeds_vms (node, e->platform_vms.json, e->platform_vms.json_bytes);
+        ss_watch_handle_vms (node, e->platform_vms.json,
+                             e->platform_vms.json_bytes);
       break;
     case SS_EVENT_STOP:
-      ss_node_begin_stop (node);
+      ss_node_begin_shutdown (node);
       break;
     case SS_EVENT_OPERATOR:
-      ss_operate_command (node, e->operator_command.id,
-                          e->operator_command.text,
-                          e->operator_command.may_change);
+      ss_admin_handle_command (node, e->operator_command.id,
+                               e->operator_command.text,
+                               e->operator_command.may_change);
       break;
     case SS_EVENT_TICK:
     default:
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -14,12 +14,12 @@
 #ifndef SS_NODE_H
 #define SS_NODE_H
 
-#include "core/budget.h"
+#include "core/retry_budget.h"
 #include "core/config.h"
 #include "core/dialect.h"
 #include "core/event.h"
 #include "core/members.h"
-#include "core/pace.h"
+#include "core/timing.h"
 #include "core/predict.h"
 #include "kernel/counters.h"
 
@@ -36,14 +36,14 @@
   int64_t transaction_idle_ms; /* limit of an idle transaction */
   int64_t stop_bound_ms;       /* limit of a graceful shutdown */
   bool spans;                  /* log a trace span for each hop */
-  SsPace pace;                 /* fields that are 0 get their defaults */
+  SsTiming timing;             /* fields that are 0 get their defaults */
   const SsDialect *dialect;    /* NULL: plain SQL */
-  uint32_t feeds;       /* bit set of the SsFeed to watch; 0: SS_FEED_ALL */
-  bool owners_anywhere; /* if a failure domain has no live VM, VMs of others
+  uint32_t watches;         /* bit set of the SsFeed to watch; 0: SS_FEED_ALL */
+  bool cross_domain_owners; /* if a failure domain has no live VM, VMs of others
                            own its targets */
-  int64_t apply_ms;     /* limit for a configuration change to take effect */
-  int64_t drain_ms;     /* limit for draining a removed target */
-  uint32_t seed_port;   /* peer port at the seeds; 0: as in seeds */
+  int64_t apply_ms;   /* limit for a configuration change to take effect */
+  int64_t drain_ms;   /* limit for draining a removed target */
+  uint32_t seed_port; /* peer port at the seeds; 0: as in seeds */
 } SsNodeParams;
 
 /* A target whose object was deleted at the platform. */
@@ -51,7 +51,7 @@
 {
   int64_t version;
   int64_t due_ms; /* when the removal takes effect */
-} SsRemoval;
+} SsPendingDeletion;
 
 /* Rate limit of the log lines of one event. */
 typedef struct
@@ -67,7 +67,7 @@
   char *vm;
   uint64_t nonce;
   int64_t asked_ms;
-} SsLeaseAsker;
+} SsLeaseRequest;
 
 /* State of one watch on the platform. */
 typedef struct
@@ -76,7 +76,7 @@
   bool complete; /* all of its objects were received once */
   int64_t due_ms;
   int64_t revision;
-} SsFeedState;
+} SsWatchState;
 
 typedef struct
 {
@@ -88,7 +88,7 @@
   SsCounters counters;
   SsConfig config;
   SsMembers members;
-  SsBudget budget;
+  SsRetryBudget retry_budget;
   const SsDialect *dialect;
   SsLogQuota log_quotas[SS_EVENT_LOG_COUNT];
   GQueue actions; /* of SsAction */
@@ -99,17 +99,17 @@
   int64_t stop_due_ms;
   int64_t stop_idle_ms; /* since when there is no work left */
 
-  GQueue opens;         /* callers that wait for this VM to be ready */
-  GHashTable *sessions; /* id -> SsSession */
-  GHashTable *requests; /* id -> SsRequest */
+  GQueue startup_callers; /* callers that wait for this VM to be ready */
+  GHashTable *sessions;   /* id -> SsSession */
+  GHashTable *requests;   /* id -> SsRequest */
   uint64_t next_request;
-  uint32_t view_waiters; /* requests waiting for a first status report */
-  GTree *marks;          /* group -> SsMarks */
+  uint32_t status_waiters;    /* requests waiting for a first status report */
+  GTree *confirmed_positions; /* group -> SsMarks */
 
   GTree *owned;            /* target -> SsOwned */
   GHashTable *connections; /* id -> SsConnection */
   uint64_t next_connection;
-  uint64_t next_ask;
+  uint64_t next_status_request;
 
   SsPrediction prediction;
   GTree *promotions;      /* group -> SsPromotion */
@@ -122,22 +122,23 @@
   int64_t subscribe_due_ms;
   uint64_t subscribed_generation;
   int64_t pull_due_ms;
-  SsFeedState feeds[SS_FEED_COUNT];
-  GHashTable *removals;      /* key -> SsRemoval */
-  GHashTable *views;         /* VM -> the VMs in its last full report */
-  GHashTable *reports;       /* relay -> the last full report sent to it */
-  int64_t config_differs_ms; /* since when a relay's configuration differs */
+  SsWatchState watches[SS_WATCH_COUNT];
+  GHashTable *pending_deletions; /* key -> SsPendingDeletion */
+  GHashTable *relay_views;       /* VM -> the VMs in its last full report */
+  GHashTable *reports;           /* relay -> the last full report sent to it */
+  int64_t config_synced_ms; /* since when a relay's configuration differs */
   int64_t directory_due_ms;
   GHashTable *leases; /* group -> since when this VM's object names it, in ms */
-  bool vms_listing;   /* a list request for the VM objects is in flight */
-  bool isolated;      /* partitioned from most VMs and the platform */
-  int64_t alone_since_ms; /* since when most VMs are not heard; 0: they are */
+  bool vm_list_outstanding; /* a list request for the VM objects is in flight */
+  bool isolated;            /* partitioned from most VMs and the platform */
+  int64_t
+      minority_since_ms; /* since when most VMs are not heard; 0: they are */
   int64_t lease_due_ms;
-  int64_t lease_asked_ms; /* 0: no lease request is in flight */
-  uint64_t lease_nonce;   /* of the last lease request to another VM */
-  int64_t lease_peer_ms;  /* when it was sent */
-  GQueue lease_askers;    /* of SsLeaseAsker, oldest first */
-  bool vms_asked;
+  int64_t lease_requested_ms;      /* 0: no lease request is in flight */
+  uint64_t lease_nonce;            /* of the last lease request to another VM */
+  int64_t lease_peer_requested_ms; /* when it was sent */
+  GQueue lease_requests;           /* of SsLeaseRequest, oldest first */
+  bool vms_requested;
   int64_t vms_due_ms;
   GBytes *vms_json; /* the platform's last list of VMs */
   bool platform_down;
--- a/src/core/operation.h
+++ b/src/core/operation.h
@@ -30,7 +30,7 @@
   int64_t asked_ms;
 } SsOperation;
 
-/* --- operate.c --- */
+/* --- admin.c --- */
 
 /* ss_operation_new: creates a pending operation that times out in BOUND_MS.
  * Takes over the contents of COMMAND.
@@ -50,13 +50,13 @@
 void ss_operation_end (SsNode *node, SsOperation *operation, SsVerdict verdict,
                        const char *message, int64_t version);
 
-/* --- show.c --- */
+/* --- admin_show.c --- */
 
-/* ss_show: answers COMMAND with the rows of all VMs; takes over the contents
- * of COMMAND.
+/* ss_admin_show: answers COMMAND with the rows of all VMs; takes over the
+ * contents of COMMAND.
  */
-void ss_show (SsNode *node, uint64_t id, SsCommand *command);
-/* ss_show_end: answers with the rows received so far. */
-void ss_show_end (SsNode *node, SsOperation *operation);
+void ss_admin_show (SsNode *node, uint64_t id, SsCommand *command);
+/* ss_admin_show_end: answers with the rows received so far. */
+void ss_admin_show_end (SsNode *node, SsOperation *operation);
 
 #endif
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -15,7 +15,7 @@
 static void
 free_status_request (gpointer data)
 {
-  SsAsk *ask = data;
+  SsStatusRequest *ask = data;
 
   g_free (ask->vm);
   g_strfreev (ask->identities);
@@ -25,14 +25,14 @@
 static void
 free_owned (gpointer data)
 {
-  SsOwned *o = data;
+  SsOwnedTarget *o = data;
 
   ss_queue_finish (&o->queue);
   ss_writers_finish (&o->writers);
   g_ptr_array_free (o->connections, TRUE);
-  g_ptr_array_free (o->asks, TRUE);
-  g_ptr_array_free (o->raise_vms, TRUE);
-  g_ptr_array_free (o->round.askers, TRUE);
+  g_ptr_array_free (o->status_requests, TRUE);
+  g_ptr_array_free (o->raise_requesters, TRUE);
+  g_ptr_array_free (o->round.requesters, TRUE);
   g_ptr_array_free (o->round.next, TRUE);
   g_hash_table_destroy (o->subscribers);
   g_free (o);
@@ -45,7 +45,7 @@
   node->connections = g_hash_table_new (g_int64_hash, g_int64_equal);
 }
 
-SsOwned *
+SsOwnedTarget *
 ss_owner_find (SsNode *node, const char *target)
 {
   return g_tree_lookup (node->owned, target);
@@ -61,7 +61,7 @@
   c->state = SS_CONNECTION_IDLE;
   c->since_ms = node->now_ms;
   if (c->is_control)
-    ss_monitor_ready (node, c->owned);
+    ss_target_monitor_ready (node, c->owned);
   else
     ss_job_dispatch (node, c->owned);
 }
@@ -72,7 +72,7 @@
   const char *sqlstate = event->target.sqlstate;
   SsConnection *c
       = g_hash_table_lookup (node->connections, &event->target.connection);
-  SsOwned *owned;
+  SsOwnedTarget *owned;
   SsJob *job;
 
   if (!c)
@@ -82,8 +82,8 @@
     {
       owned->control = NULL;
       ss_pool_forget (node, c);
-      ss_monitor_closed (node, owned,
-                         event->target.refused || event->target.is_other);
+      ss_target_monitor_closed (
+          node, owned, event->target.refused || event->target.is_wrong_server);
       return;
     }
   if (c->state == SS_CONNECTION_CONNECTING)
@@ -98,7 +98,7 @@
       ss_job_answer (node, job, ss_job_lost_verdict (job),
                      SS_REASON_CONNECTION_LOST, SS_RETRY_SOON_MS);
     }
-  ss_monitor_poll_soon (node, owned);
+  ss_target_monitor_poll_soon (node, owned);
 }
 
 static gboolean
@@ -137,7 +137,7 @@
 
 /* Returns the queued jobs that match FILTER, or all if FILTER is NULL. */
 static GPtrArray *
-queued_jobs (SsOwned *owned, const JobFilter *filter)
+queued_jobs (SsOwnedTarget *owned, const JobFilter *filter)
 {
   GPtrArray *found = g_ptr_array_new ();
 
@@ -155,7 +155,7 @@
 static gboolean
 free_waiting (gpointer key, gpointer value, gpointer data)
 {
-  SsOwned *o = value;
+  SsOwnedTarget *o = value;
   SsJob *job;
   GPtrArray *queued;
 
@@ -187,7 +187,7 @@
 }
 
 static void
-refuse_queued (SsNode *node, SsOwned *owned, const JobFilter *filter,
+refuse_queued (SsNode *node, SsOwnedTarget *owned, const JobFilter *filter,
                SsReason reason)
 {
   GPtrArray *jobs = queued_jobs (owned, filter);
@@ -210,7 +210,7 @@
 
   for (guint i = 0; i < owned->len; i++)
     {
-      SsOwned *o = g_ptr_array_index (owned, i);
+      SsOwnedTarget *o = g_ptr_array_index (owned, i);
 
       refuse_queued (node, o, &filter, SS_REASON_CANCELLED);
       for (guint j = 0; j < o->connections->len; j++)
@@ -230,7 +230,7 @@
  * Closing a connection makes the server roll back.
  */
 static void
-close_sessions (SsNode *node, SsOwned *owned, const JobFilter *filter)
+close_sessions (SsNode *node, SsOwnedTarget *owned, const JobFilter *filter)
 {
   refuse_queued (node, owned, filter, SS_REASON_CANCELLED);
   for (guint i = owned->connections->len; i > 0; i--)
@@ -242,7 +242,7 @@
       if (!is_pinned && !(c->job && job_matches (c->job, filter)))
         continue;
       if (c->state == SS_CONNECTION_PINNED
-          && ss_dialect_keeps_sessions (node->dialect))
+          && ss_dialect_multiplexes_sessions (node->dialect))
         ss_multiplex_roll_back (node, c);
       else
         ss_pool_close (node, c);
@@ -275,18 +275,18 @@
   end_sessions (node, vm, 0);
 }
 
-static SsOwned *
+static SsOwnedTarget *
 add_owned (SsNode *node, SsTarget *target)
 {
-  SsOwned *o = g_new0 (SsOwned, 1);
+  SsOwnedTarget *o = g_new0 (SsOwnedTarget, 1);
 
   o->target = target;
   ss_queue_init (&o->queue);
   ss_writers_init (&o->writers);
   o->connections = g_ptr_array_new ();
-  o->asks = g_ptr_array_new_with_free_func (free_status_request);
-  o->raise_vms = g_ptr_array_new_with_free_func (g_free);
-  o->round.askers = g_ptr_array_new_with_free_func (free_status_request);
+  o->status_requests = g_ptr_array_new_with_free_func (free_status_request);
+  o->raise_requesters = g_ptr_array_new_with_free_func (g_free);
+  o->round.requesters = g_ptr_array_new_with_free_func (free_status_request);
   o->round.next = g_ptr_array_new_with_free_func (free_status_request);
   o->subscribers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -298,7 +298,7 @@
  * continue; queued statements and unused connections are dropped.
  */
 static void
-release_target (SsNode *node, SsOwned *owned)
+release_target (SsNode *node, SsOwnedTarget *owned)
 {
   refuse_queued (node, owned, NULL, SS_REASON_NOT_OWNER);
   for (guint i = owned->connections->len; i > 0; i--)
@@ -315,13 +315,13 @@
 }
 
 SsGroup *
-ss_owned_group (SsNode *node, const SsOwned *owned)
+ss_owned_group (SsNode *node, const SsOwnedTarget *owned)
 {
   return ss_config_group (&node->config, owned->target->group);
 }
 
 void
-ss_owner_unreachable (SsNode *node, SsOwned *owned)
+ss_owner_unreachable (SsNode *node, SsOwnedTarget *owned)
 {
   refuse_queued (node, owned, NULL, SS_REASON_CONNECT);
   for (guint i = owned->connections->len; i > 0; i--)
@@ -337,7 +337,7 @@
  * primary can't be acknowledged any more, so they are answered now.
  */
 static void
-end_superseded (SsNode *node, SsOwned *owned)
+end_superseded (SsNode *node, SsOwnedTarget *owned)
 {
   for (guint i = owned->connections->len; i > 0; i--)
     {
@@ -353,7 +353,7 @@
 }
 
 static void
-check_term (SsNode *node, SsOwned *owned)
+check_term (SsNode *node, SsOwnedTarget *owned)
 {
   const SsGroup *group = ss_owned_group (node, owned);
 
@@ -362,8 +362,8 @@
   if (owned->group_term && strcmp (group->primary, owned->target->name) != 0)
     end_superseded (node, owned);
   owned->group_term = group->term;
-  if (ss_dialect_keeps_sessions (node->dialect) && owned->active)
-    ss_monitor_poll_soon (node, owned);
+  if (ss_dialect_multiplexes_sessions (node->dialect) && owned->active)
+    ss_target_monitor_poll_soon (node, owned);
 }
 
 static gboolean
@@ -372,7 +372,7 @@
   SsNode *node = data;
   SsTarget *t = value;
   bool is_owner = ss_node_is_owner (node, t);
-  SsOwned *o = ss_owner_find (node, t->name);
+  SsOwnedTarget *o = ss_owner_find (node, t->name);
 
   (void) key;
   if (!o && is_owner)
@@ -399,7 +399,7 @@
 }
 
 static void
-refuse_expired (SsNode *node, SsOwned *owned)
+refuse_expired (SsNode *node, SsOwnedTarget *owned)
 {
   SsQueueItem *item;
 
@@ -444,7 +444,7 @@
     default:
       if (c->job && node->now_ms >= c->job->item.deadline_ms)
         ss_job_give_up (node, c, SS_REASON_DEADLINE);
-      else if (c->job && c->again_ms && node->now_ms >= c->again_ms)
+      else if (c->job && c->resend_at_ms && node->now_ms >= c->resend_at_ms)
         ss_multiplex_resend (node, c);
       else if (c->rolls_back && age_ms >= ROLLBACK_TIMEOUT_MS)
         ss_pool_close (node, c);
@@ -459,16 +459,16 @@
 
   for (guint i = 0; i < owned->len; i++)
     {
-      SsOwned *o = g_ptr_array_index (owned, i);
+      SsOwnedTarget *o = g_ptr_array_index (owned, i);
 
       refuse_expired (node, o);
       for (guint j = o->connections->len; j > 0; j--)
         tick_connection (node, g_ptr_array_index (o->connections, j - 1));
       if (ss_queue_length (&o->queue))
         ss_job_dispatch (node, o);
-      ss_hold_tick (node, o);
+      ss_quorum_tick (node, o);
       if (o->active)
-        ss_monitor_tick (node, o);
+        ss_target_monitor_tick (node, o);
     }
   g_ptr_array_free (owned, TRUE);
 }
@@ -481,7 +481,7 @@
 
   for (guint i = 0; i < owned->len; i++)
     {
-      SsOwned *o = g_ptr_array_index (owned, i);
+      SsOwnedTarget *o = g_ptr_array_index (owned, i);
 
       if (ss_queue_length (&o->queue) || !g_queue_is_empty (&o->waiters)
           || !g_queue_is_empty (&o->unconfirmed))
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -1,6 +1,6 @@
 /* owner: declarations shared by the modules that serve owned targets:
- * connections (pool.c), statements (job.c, outcome.c, kept.c) and maintenance
- * (owner.c).
+ * connections (pool.c), statements (job.c, job_result.c, multiplex.c) and
+ * maintenance (owner.c).
  */
 #ifndef SS_OWNER_H
 #define SS_OWNER_H
@@ -8,15 +8,16 @@
 #include "core/internal.h"
 
 /* ss_owned_group: returns the group of the target, or NULL. */
-SsGroup *ss_owned_group (SsNode *node, const SsOwned *owned);
+SsGroup *ss_owned_group (SsNode *node, const SsOwnedTarget *owned);
 
 /* --- pool.c --- */
 
 /* ss_pool_max_connections: returns the number of connections that may be open
  * for statements now.
  */
-uint32_t ss_pool_max_connections (SsNode *node, const SsOwned *owned);
-SsConnection *ss_pool_connect (SsNode *node, SsOwned *owned, bool is_control);
+uint32_t ss_pool_max_connections (SsNode *node, const SsOwnedTarget *owned);
+SsConnection *ss_pool_connect (SsNode *node, SsOwnedTarget *owned,
+                               bool is_control);
 /* ss_pool_close: closes CONNECTION and frees it together with its job. */
 void ss_pool_close (SsNode *node, SsConnection *connection);
 /* ss_pool_forget: frees a connection that is already closed. */
@@ -31,17 +32,17 @@
  * its entry may have lost a transaction that is still open here, or may belong
  * to a new incarnation of VM.
  */
-SsConnection *ss_pool_find_pinned (SsOwned *owned, const char *vm,
+SsConnection *ss_pool_find_pinned (SsOwnedTarget *owned, const char *vm,
                                    uint64_t transaction);
-SsConnection *ss_pool_find_idle (SsOwned *owned);
+SsConnection *ss_pool_find_idle (SsOwnedTarget *owned);
 /* ss_pool_find_nearest: returns the idle connection that needs the fewest
  * statements of session state replay for JOB, or NULL.
  */
-SsConnection *ss_pool_find_nearest (SsOwned *owned, const SsJob *job);
+SsConnection *ss_pool_find_nearest (SsOwnedTarget *owned, const SsJob *job);
 /* ss_pool_capacity: returns how many statements may run concurrently. */
-uint32_t ss_pool_capacity (SsNode *node, const SsOwned *owned);
+uint32_t ss_pool_capacity (SsNode *node, const SsOwnedTarget *owned);
 /* ss_pool_open_more: opens connections for queued statements. */
-void ss_pool_open_more (SsNode *node, SsOwned *owned);
+void ss_pool_open_more (SsNode *node, SsOwnedTarget *owned);
 
 /* --- job.c --- */
 
@@ -49,20 +50,20 @@
  * APPLIED has applied everything up to FLOOR, which is translated by the
  * target's term history first.
  */
-bool ss_owned_covers_floor (const SsOwned *owned, SsPosition applied,
+bool ss_owned_covers_floor (const SsOwnedTarget *owned, SsPosition applied,
                             SsPosition floor);
 void ss_job_free (SsJob *job);
 /* ss_job_answer: sends the reply to JOB and frees JOB. */
 void ss_job_answer (SsNode *node, SsJob *job, SsVerdict verdict,
                     SsReason reason, uint32_t retry_after_ms);
 /* ss_job_dispatch: runs queued statements on idle connections. */
-void ss_job_dispatch (SsNode *node, SsOwned *owned);
+void ss_job_dispatch (SsNode *node, SsOwnedTarget *owned);
 /* ss_job_start_step: sends the statement for STEP of C's job to the target. */
 void ss_job_start_step (SsNode *node, SsConnection *c, SsStep step);
 /* ss_job_queue: queues JOB, or refuses it by admission control. */
-void ss_job_queue (SsNode *node, SsOwned *owned, SsJob *job);
+void ss_job_queue (SsNode *node, SsOwnedTarget *owned, SsJob *job);
 
-/* --- outcome.c --- */
+/* --- job_result.c --- */
 
 /* ss_job_give_up: answers the job that runs on C at once and closes C. */
 void ss_job_give_up (SsNode *node, SsConnection *c, SsReason reason);
@@ -80,7 +81,7 @@
  */
 SsVerdict ss_job_lost_verdict (const SsJob *job);
 
-/* --- kept.c --- */
+/* --- multiplex.c --- */
 
 /* ss_multiplex_start: starts C's job with the replay of its session state. */
 void ss_multiplex_start (SsNode *node, SsConnection *c);
--- a/src/core/parse.c
+++ b/src/core/parse.c
@@ -126,7 +126,7 @@
   s->weight = (uint32_t) weight;
   s->acknowledge_majority
       = !acknowledge || strcmp (acknowledge, "majority") == 0;
-  s->knows_callers = g_strcmp0 (identity, "user") == 0;
+  s->identifies_callers = g_strcmp0 (identity, "user") == 0;
   g_free (identity);
   g_free (acknowledge);
   return error;
--- a/src/core/spread.c
+++ b/src/core/peers.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core/spread.h"
+#include "core/peers.h"
 #include "kernel/names.h"
 
 #define HEARD_WITHIN_MS 600
@@ -61,8 +61,8 @@
 }
 
 SsMember *
-ss_spread_add_member (SsNode *node, const char *vm, const char *failure_domain,
-                      const char *ip, uint16_t port)
+ss_peers_add_member (SsNode *node, const char *vm, const char *failure_domain,
+                     const char *ip, uint16_t port)
 {
   SsMember *m = ss_members_find (&node->members, vm);
   bool is_new = !m;
@@ -90,7 +90,7 @@
 {
   uint32_t others = 0;
 
-  if (ss_feeds_are_one (node))
+  if (ss_watch_is_single (node))
     return false;
   ss_peers_visit (node, count_member, &others);
   return others >= SS_MEMBERS_MESH_MAX;
@@ -137,13 +137,13 @@
 }
 
 void
-ss_spread_beat_now (SsNode *node)
+ss_peers_send_heartbeat (SsNode *node)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__Heartbeat heartbeat = SS__PEER__HEARTBEAT__INIT;
   GPtrArray *heard = g_ptr_array_new ();
 
-  node->heartbeat_due_ms = node->now_ms + node->params.pace.heartbeat_ms;
+  node->heartbeat_due_ms = node->now_ms + node->params.timing.heartbeat_ms;
   if (!node->members.relayed)
     ss_peers_visit (node, collect_heard, heard);
   heartbeat.vm = (char *) node->params.vm;
@@ -155,11 +155,11 @@
   heartbeat.heard = (char **) heard->pdata;
   heartbeat.n_heard = heard->len;
   heartbeat.ready = node->ready;
-  heartbeat.platform_up = ss_feeds_watches (node) && !node->platform_down;
+  heartbeat.platform_up = ss_watch_is_active (node) && !node->platform_down;
   e.body_case = SS__PEER__ENVELOPE__BODY_HEARTBEAT;
   e.heartbeat = &heartbeat;
   if (node->members.relayed)
-    ss_relay_beat (node, &e);
+    ss_relay_send_heartbeat (node, &e);
   else
     ss_peers_visit (node, send_heartbeat, &e);
   if (!node->ready && heard->len == 0)
@@ -173,27 +173,27 @@
 static bool
 pulls_from_peers (const SsNode *node)
 {
-  return ss_feeds_are_one (node) || node->platform_down || !node->ready;
+  return ss_watch_is_single (node) || node->platform_down || !node->ready;
 }
 
 void
-ss_spread_heartbeat (SsNode *node, const Ss__Peer__Heartbeat *beat)
+ss_peers_handle_heartbeat (SsNode *node, const Ss__Peer__Heartbeat *beat)
 {
   SsMember *m;
 
   if (!*beat->vm || ss_peers_is_self (node, beat->vm)
       || beat->peer_port > 65535)
     return;
-  m = ss_spread_add_member (node, beat->vm, beat->failure_domain, beat->ip,
-                            (uint16_t) beat->peer_port);
-  ss_members_heard (&node->members, m, beat->leaving, beat->heard,
-                    beat->n_heard, node->now_ms);
+  m = ss_peers_add_member (node, beat->vm, beat->failure_domain, beat->ip,
+                           (uint16_t) beat->peer_port);
+  ss_members_record_heartbeat (&node->members, m, beat->leaving, beat->heard,
+                               beat->n_heard, node->now_ms);
   m->platform_up = beat->platform_up;
   if (node->members.relayed
       && strcmp (m->failure_domain, node->params.failure_domain) == 0)
-    ss_relay_answer (node, beat->vm, beat->digest);
+    ss_relay_send_digest (node, beat->vm, beat->digest);
   if (beat->revision > node->config.revision && pulls_from_peers (node))
-    ss_adopt_pull_since (node, beat->vm);
+    ss_config_sync_pull_newer (node, beat->vm);
 }
 
 /* --- subscriptions --- */
@@ -293,7 +293,7 @@
 static void
 check_ready (SsNode *node)
 {
-  int64_t after_ms = ss_feeds_are_complete (node) && !ss_feeds_are_one (node)
+  int64_t after_ms = ss_watch_is_complete (node) && !ss_watch_is_single (node)
                          ? READY_AFTER_LISTING_MS
                          : READY_AFTER_MS;
 
@@ -307,12 +307,12 @@
 }
 
 void
-ss_spread_tick (SsNode *node)
+ss_peers_tick (SsNode *node)
 {
   uint64_t generation = node->members.generation;
   SsMember *self = ss_members_find (&node->members, node->params.vm);
 
-  self->platform_up = ss_feeds_watches (node) && !node->platform_down;
+  self->platform_up = ss_watch_is_active (node) && !node->platform_down;
   node->members.relayed = is_relayed (node);
   ss_members_update (&node->members, node->now_ms, on_member_changed, node);
   if (generation != node->members.generation
@@ -322,12 +322,12 @@
       subscribe (node);
     }
   if (node->now_ms >= node->heartbeat_due_ms)
-    ss_spread_beat_now (node);
+    ss_peers_send_heartbeat (node);
   if (node->now_ms >= node->subscribe_due_ms)
     subscribe (node);
-  if (!ss_feeds_are_one (node) || ss_feeds_watches (node))
-    ss_feeds_tick (node);
-  if (g_hash_table_size (node->removals))
-    ss_adopt_remove_gone (node);
+  if (!ss_watch_is_single (node) || ss_watch_is_active (node))
+    ss_watch_tick (node);
+  if (g_hash_table_size (node->pending_deletions))
+    ss_config_sync_delete_expired (node);
   check_ready (node);
 }
--- a/src/core/pending.c
+++ b/src/core/pending.c
@@ -118,7 +118,7 @@
 void
 ss_pending_identities (SsNode *node, const char *group, GPtrArray *out)
 {
-  WaitFilter w = { group, SS_WAIT_MARK };
+  WaitFilter w = { group, SS_WAIT_CONFIRMED };
   GPtrArray *waiting = find_requests (node, is_waiting, &w);
 
   for (guint i = 0; i < waiting->len; i++)
--- a/src/core/pool.c
+++ b/src/core/pool.c
@@ -14,8 +14,8 @@
   if (c->job)
     ss_job_free (c->job);
   ss_session_state_finish (&c->held);
-  g_queue_clear_full (&c->due, g_free);
-  g_free (c->prelude);
+  g_queue_clear_full (&c->setup_queue, g_free);
+  g_free (c->last_setup);
   g_free (c->vm);
   g_free (c);
 }
@@ -24,13 +24,13 @@
  * uses at most half of the server's connections.
  */
 uint32_t
-ss_pool_max_connections (SsNode *node, const SsOwned *owned)
+ss_pool_max_connections (SsNode *node, const SsOwnedTarget *owned)
 {
   uint32_t connections
       = ss_config_max_connections (&node->config, owned->target);
 
   if (node->now_ms - owned->owner_since_ms < OWNER_SETTLE_MS
-      || !ss_members_is_settled (&node->members))
+      || !ss_members_is_converged (&node->members))
     connections /= 2;
   return connections > CONTROL_RESERVE ? connections - CONTROL_RESERVE : 1;
 }
@@ -39,7 +39,7 @@
  * it is never idle between two statements.
  */
 uint32_t
-ss_pool_capacity (SsNode *node, const SsOwned *owned)
+ss_pool_capacity (SsNode *node, const SsOwnedTarget *owned)
 {
   uint32_t limit = ss_pool_max_connections (node, owned);
 
@@ -49,7 +49,7 @@
 }
 
 SsConnection *
-ss_pool_connect (SsNode *node, SsOwned *owned, bool is_control)
+ss_pool_connect (SsNode *node, SsOwnedTarget *owned, bool is_control)
 {
   SsConnection *c = g_new0 (SsConnection, 1);
   SsAction *a = ss_node_push (node, SS_ACTION_TARGET_CONNECT);
@@ -58,7 +58,7 @@
   c->owned = owned;
   c->is_control = is_control;
   c->since_ms = node->now_ms;
-  g_queue_init (&c->due);
+  g_queue_init (&c->setup_queue);
   ss_session_state_init (&c->held);
   g_hash_table_insert (node->connections, &c->id, c);
   a->id = c->id;
@@ -97,7 +97,7 @@
 }
 
 SsConnection *
-ss_pool_find_pinned (SsOwned *owned, const char *vm, uint64_t transaction)
+ss_pool_find_pinned (SsOwnedTarget *owned, const char *vm, uint64_t transaction)
 {
   for (guint i = 0; i < owned->connections->len; i++)
     {
@@ -110,7 +110,7 @@
 }
 
 SsConnection *
-ss_pool_find_idle (SsOwned *owned)
+ss_pool_find_idle (SsOwnedTarget *owned)
 {
   for (guint i = owned->connections->len; i > 0; i--)
     {
@@ -123,7 +123,7 @@
 }
 
 SsConnection *
-ss_pool_find_nearest (SsOwned *owned, const SsJob *job)
+ss_pool_find_nearest (SsOwnedTarget *owned, const SsJob *job)
 {
   SsConnection *nearest = NULL;
   uint32_t least = 0;
@@ -146,7 +146,7 @@
 }
 
 static uint32_t
-count_connecting (const SsOwned *owned)
+count_connecting (const SsOwnedTarget *owned)
 {
   uint32_t count = 0;
 
@@ -160,7 +160,7 @@
 }
 
 void
-ss_pool_open_more (SsNode *node, SsOwned *owned)
+ss_pool_open_more (SsNode *node, SsOwnedTarget *owned)
 {
   uint32_t limit = ss_pool_max_connections (node, owned);
   uint32_t wanted = ss_queue_length (&owned->queue);
--- a/src/core/predict.c
+++ b/src/core/predict.c
@@ -5,7 +5,7 @@
 #include "core/internal.h"
 
 void
-ss_prediction_learn (SsPrediction *prediction, int64_t failover_ms)
+ss_predict_learn (SsPrediction *prediction, int64_t failover_ms)
 {
   if (failover_ms > prediction->failover_ms)
     prediction->failover_ms = failover_ms;
@@ -14,10 +14,11 @@
 }
 
 int64_t
-ss_prediction_end_ms (const SsPrediction *prediction, int64_t since_ms)
+ss_predict_end_ms (const SsPrediction *prediction, int64_t since_ms)
 {
-  int64_t failover_ms = prediction->failover_ms ? prediction->failover_ms
-                                                : SS_PREDICT_CHANGE_START_MS;
+  int64_t failover_ms = prediction->failover_ms
+                            ? prediction->failover_ms
+                            : SS_PREDICT_INITIAL_FAILOVER_MS;
 
   return since_ms + failover_ms * SS_PREDICT_MARGIN_PERCENT / 100;
 }
@@ -32,7 +33,7 @@
   if (primary)
     since_ms = MAX (primary->reachable_ms, group->changed_ms)
                + SS_PREDICT_DETECTION_MS;
-  *until_ms = ss_prediction_end_ms (&node->prediction, since_ms);
+  *until_ms = ss_predict_end_ms (&node->prediction, since_ms);
   if (*until_ms <= node->now_ms || *until_ms > deadline_ms)
     return false;
   return true;
--- a/src/core/predict.h
+++ b/src/core/predict.h
@@ -14,7 +14,7 @@
  * claim on the promotion and includes raising the term, the promotion and the
  * distribution of the new configuration.
  */
-#define SS_PREDICT_CHANGE_START_MS 900
+#define SS_PREDICT_INITIAL_FAILOVER_MS 900
 /* Safety margin: percentage of the estimate that the next failover may take. */
 #define SS_PREDICT_MARGIN_PERCENT 130
 /* Time until the failure of a silent primary is detected, or it answers again.
@@ -26,14 +26,14 @@
   int64_t failover_ms; /* moving estimate; 0: no failover was observed */
 } SsPrediction;
 
-/* ss_prediction_learn: updates the estimate with a failover that took
+/* ss_predict_learn: updates the estimate with a failover that took
  * FAILOVER_MS from its claim.  A longer one counts at once; a shorter one
  * lowers the estimate by half of the difference.
  */
-void ss_prediction_learn (SsPrediction *prediction, int64_t failover_ms);
-/* ss_prediction_end_ms: returns the expected end of a failover that began at
+void ss_predict_learn (SsPrediction *prediction, int64_t failover_ms);
+/* ss_predict_end_ms: returns the expected end of a failover that began at
  * SINCE_MS.
  */
-int64_t ss_prediction_end_ms (const SsPrediction *prediction, int64_t since_ms);
+int64_t ss_predict_end_ms (const SsPrediction *prediction, int64_t since_ms);
 
 #endif
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -38,7 +38,8 @@
     return p;
   p = g_new0 (SsPromotion, 1);
   p->group = g_strdup (group);
-  p->raised = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  p->raised_positions
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   p->primary_seen_ms = node->now_ms;
   g_tree_insert (node->promotions, p->group, p);
   return p;
@@ -92,13 +93,13 @@
   if (!operator_call)
     return;
   p->operator_call = 0;
-  g_clear_pointer (&p->wanted, g_free);
+  g_clear_pointer (&p->requested_server, g_free);
   text = group ? g_strdup_printf (
              "%s; in force: term %" G_GUINT64_FORMAT ", primary %s", message,
              group->term, *group->primary ? group->primary : "(none)")
                : g_strdup (message);
-  ss_operate_promoted (node, operator_call, verdict, text,
-                       group ? group->version : 0);
+  ss_admin_handle_promotion (node, operator_call, verdict, text,
+                             group ? group->version : 0);
   g_free (text);
 }
 
@@ -163,14 +164,14 @@
 static void
 start_promotion (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
-  p->term = node->dialect->platform_promotes ? ss_lead_term (group)
+  p->term = node->dialect->platform_promotes ? ss_coordinator_next_term (group)
                                              : highest_term (group) + 1;
   p->version = group->version;
   p->started_ms = node->now_ms;
   g_snprintf (p->operation, sizeof p->operation,
               "%s-%" G_GUINT64_FORMAT "-%08x", node->params.vm,
               ++node->next_operation, g_rand_int (node->rand));
-  g_hash_table_remove_all (p->raised);
+  g_hash_table_remove_all (p->raised_positions);
   p->quorum_ms = 0;
   g_clear_pointer (&p->chosen, g_free);
   g_clear_pointer (&p->leaving, g_free);
@@ -263,14 +264,15 @@
 tick_idle_platform (SsNode *node, SsPromotion *p, SsGroup *group)
 {
   if (node->now_ms < p->retry_ms || node->stopping
-      || !ss_lead_is_coordinator (node) || ss_lead_adopt (node, p, group))
+      || !ss_coordinator_is_self (node)
+      || ss_coordinator_adopt_primary (node, p, group))
     return;
   if (is_primary_draining (group))
     {
       p->requested = true;
       p->retry_ms = node->now_ms + DRAIN_RETRY_MS;
     }
-  else if (!p->requested && !ss_lead_is_suspect (node, p, group))
+  else if (!p->requested && !ss_coordinator_is_suspect (node, p, group))
     return;
   if (!p->requested)
     ss_node_log (node, SS_EVENT_LOG_SUSPECT, p->group,
@@ -313,7 +315,7 @@
                "term=%" G_GUINT64_FORMAT " primary=%s ms=%" G_GINT64_FORMAT,
                p->term, p->chosen, node->now_ms - p->started_ms);
   if (p->step != SS_PROMOTE_ADOPT)
-    ss_prediction_learn (&node->prediction, node->now_ms - p->started_ms);
+    ss_predict_learn (&node->prediction, node->now_ms - p->started_ms);
   answer_operator (node, p, SS_VERDICT_RAN, "promoted");
   p->requested = false;
   p->retry_ms = node->now_ms + RETRY_MS;
@@ -340,7 +342,7 @@
   ss_promote_enter (node, p, SS_PROMOTE_RAISE);
   if (node->dialect->platform_promotes)
     ss_lease_begin_release (node, p);
-  ss_raise_tick (node, p, group);
+  ss_term_raise_tick (node, p, group);
 }
 
 /* The object has another operation.  If its version has increased, this claim
@@ -359,7 +361,7 @@
 {
   SsGroup *group;
 
-  ss_adopt_one (node, object);
+  ss_config_sync_publish (node, object);
   group = ss_config_group (&node->config, p->group);
   if (group && strcmp (group->operation, p->operation) == 0)
     continue_promotion (node, p, group);
@@ -368,15 +370,15 @@
 }
 
 void
-ss_promote_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
-                   const SsObject *object)
+ss_promote_handle_object (SsNode *node, uint64_t call,
+                          SsPlatformOutcome outcome, const SsObject *object)
 {
   GTree *promotions = node->promotions;
   SsPromotion *p;
 
   if (object->key && strcmp (object->key, SS_PROMOTE_DUTY_KEY) == 0)
     {
-      ss_lead_duty (node, call, outcome, object);
+      ss_coordinator_handle_duty (node, call, outcome, object);
       return;
     }
   p = object->key && g_str_has_prefix (object->key, "group/")
@@ -413,7 +415,7 @@
 {
   track_primary (node, p, group);
   if (node->dialect->platform_promotes)
-    ss_lead_watch (node, p, group);
+    ss_coordinator_poll_replicas (node, p, group);
   if (p->step != SS_PROMOTE_IDLE && group->term > p->term)
     {
       ss_promote_give_up (node, p, "a later term is in force");
@@ -431,11 +433,11 @@
       tick_idle (node, p, group);
       break;
     case SS_PROMOTE_RAISE:
-      ss_raise_tick (node, p, group);
+      ss_term_raise_tick (node, p, group);
       break;
     case SS_PROMOTE_DUTY:
     case SS_PROMOTE_LEAD:
-      ss_lead_tick (node, p);
+      ss_coordinator_tick (node, p);
       break;
     case SS_PROMOTE_CLAIM_READ:
     case SS_PROMOTE_NAME_READ:
@@ -477,8 +479,8 @@
 }
 
 void
-ss_promote_order (SsNode *node, const char *group, const char *to,
-                  uint64_t call)
+ss_promote_request (SsNode *node, const char *group, const char *to,
+                    uint64_t call)
 {
   SsGroup *g = ss_config_group (&node->config, group);
   SsPromotion *p = ss_promote_get (node, group);
@@ -486,13 +488,13 @@
   /* An empty primary means that another VM's promotion is running. */
   if (p->step != SS_PROMOTE_IDLE || !*g->primary)
     {
-      ss_operate_promoted (node, call, SS_VERDICT_NOT_RUN,
-                           "a promotion of this group is already running",
-                           g->version);
+      ss_admin_handle_promotion (node, call, SS_VERDICT_NOT_RUN,
+                                 "a promotion of this group is already running",
+                                 g->version);
       return;
     }
-  g_free (p->wanted);
-  p->wanted = to ? g_strdup (to) : NULL;
+  g_free (p->requested_server);
+  p->requested_server = to ? g_strdup (to) : NULL;
   p->requested = true;
   p->operator_call = call;
   start_promotion (node, p, g);
--- a/src/core/change.h
+++ b/src/core/promotion.h
@@ -1,10 +1,10 @@
-/* change: promotions, and leases on the primary.
+/* promotion: promotions, and leases on the primary.
  *
  * A promotion claims a higher term in the group's object, raises the term of
  * enough servers, chooses the most advanced one and names it in the object.
  */
-#ifndef SS_CHANGE_H
-#define SS_CHANGE_H
+#ifndef SS_PROMOTION_H
+#define SS_PROMOTION_H
 
 #include "core/node.h"
 #include "proto/peer.pb-c.h"
@@ -66,15 +66,16 @@
   uint64_t term;
   int64_t version;
   char operation[96];
-  char *wanted;  /* server that an operator requests, or NULL */
-  char *leaving; /* primary to be replaced, never chosen; or NULL */
+  char *requested_server; /* server that an operator requests, or NULL */
+  char *leaving;          /* primary to be replaced, never chosen; or NULL */
   char *chosen;
   bool requested;
   uint64_t operator_call; /* operator's call to be answered; 0: none */
-  GHashTable *raised;     /* name -> SsPosition of its log; not by pointer, as
-                             servers may be added and removed meanwhile */
-  int64_t quorum_ms;      /* when enough servers were raised; 0: not yet */
-  uint32_t rank;          /* of this VM as the group's coordinator */
+  GHashTable
+      *raised_positions; /* name -> SsPosition of its log; not by pointer, as
+                  servers may be added and removed meanwhile */
+  int64_t quorum_ms;     /* when enough servers were raised; 0: not yet */
+  uint32_t rank;         /* of this VM as the group's coordinator */
   uint64_t rank_generation;
   int64_t fencing_token;       /* of the platform's promotion call */
   SsPosition replica_position; /* the highest position of a replica */
@@ -103,17 +104,21 @@
 void ss_promote_write_group (SsNode *node, SsPromotion *promotion,
                              const char *primary);
 void ss_promote_tick (SsNode *node);
-void ss_promote_raised (SsNode *node, const Ss__Peer__RaiseReply *reply);
-void ss_promote_object (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
-                        const SsObject *object);
-/* ss_promote_called: handles the result of the platform's promotion call CALL.
- */
-void ss_promote_called (SsNode *node, uint64_t call, SsPlatformOutcome outcome);
-/* ss_promote_order: starts a promotion of GROUP that an operator requests, to
+void ss_term_raise_handle_reply (SsNode *node,
+                                 const Ss__Peer__RaiseReply *reply);
+void ss_promote_handle_object (SsNode *node, uint64_t call,
+                               SsPlatformOutcome outcome,
+                               const SsObject *object);
+/* ss_coordinator_handle_call: handles the result of the platform's promotion
+ * call CALL.
+ */
+void ss_coordinator_handle_call (SsNode *node, uint64_t call,
+                                 SsPlatformOutcome outcome);
+/* ss_promote_request: starts a promotion of GROUP that an operator requests, to
  * the server TO (NULL: any).  The result goes to operation CALL.
  */
-void ss_promote_order (SsNode *node, const char *group, const char *to,
-                       uint64_t call);
+void ss_promote_request (SsNode *node, const char *group, const char *to,
+                         uint64_t call);
 SsPromotion *ss_promote_get (SsNode *node, const char *group);
 /* ss_promote_rank: returns this VM's rank as coordinator of the group, from 0.
  */
@@ -123,12 +128,13 @@
  */
 void ss_promote_resumed (SsNode *node);
 
-/* --- raise.c: raising the servers' terms --- */
+/* --- term_raise.c: raising the servers' terms --- */
 
-/* ss_raise_tick: asks the servers to raise their term to the claim's, and
+/* ss_term_raise_tick: asks the servers to raise their term to the claim's, and
  * starts the next step once enough of them did.
  */
-void ss_raise_tick (SsNode *node, SsPromotion *promotion, const SsGroup *group);
+void ss_term_raise_tick (SsNode *node, SsPromotion *promotion,
+                         const SsGroup *group);
 
 /* --- lease.c: use of a primary without asking its servers --- */
 
@@ -147,14 +153,14 @@
  * them can then start a promotion.
  */
 bool ss_lease_may_ask_servers (const SsNode *node);
-void ss_lease_ask (SsNode *node, const char *from,
-                   const Ss__Peer__LeaseAsk *ask);
-void ss_lease_asker_free (gpointer asker);
-void ss_lease_reply (SsNode *node, const Ss__Peer__LeaseReply *reply);
-/* ss_lease_listed: handles the result of a list request, whose objects are
+void ss_lease_handle_ask (SsNode *node, const char *from,
+                          const Ss__Peer__LeaseAsk *ask);
+void ss_lease_request_free (gpointer asker);
+void ss_lease_handle_reply (SsNode *node, const Ss__Peer__LeaseReply *reply);
+/* ss_lease_handle_list: handles the result of a list request, whose objects are
  * already adopted.
  */
-void ss_lease_listed (SsNode *node, const SsEvent *event);
+void ss_lease_handle_list (SsNode *node, const SsEvent *event);
 /* ss_lease_list_vms: requests the list of VMs from the platform, unless a
  * request is outstanding.
  */
@@ -170,34 +176,42 @@
 /* ss_lease_is_released: whether no VM can use the previous primary any longer.
  */
 bool ss_lease_is_released (SsNode *node, SsPromotion *promotion);
-void ss_lease_claim_ask (SsNode *node, const char *from,
-                         const Ss__Peer__ClaimAsk *ask);
-void ss_lease_claim_reply (SsNode *node, const char *from,
-                           const Ss__Peer__ClaimReply *reply);
+void ss_lease_handle_claim_ask (SsNode *node, const char *from,
+                                const Ss__Peer__ClaimAsk *ask);
+void ss_lease_handle_claim_reply (SsNode *node, const char *from,
+                                  const Ss__Peer__ClaimReply *reply);
 
-/* --- lead.c: promotions carried out by the platform --- */
+/* --- coordinator.c: promotions carried out by the platform --- */
 
-/* ss_lead_is_coordinator: whether this VM starts promotions.  False in the
+/* ss_coordinator_is_self: whether this VM starts promotions.  False in the
  * grace period after the loss of its relays (ss_members_is_unsure).
  */
-bool ss_lead_is_coordinator (SsNode *node);
-/* ss_lead_term: returns the term that a new primary of GROUP will lead. */
-uint64_t ss_lead_term (const SsGroup *group);
-/* ss_lead_adopt: starts to name the primary in GROUP's object if a server leads
- * a later term than the object has, or leads its term while the object names no
- * primary.  Returns whether it did.
- */
-bool ss_lead_adopt (SsNode *node, SsPromotion *promotion, SsGroup *group);
-/* ss_lead_watch: polls the replicas while their primary is unreachable. */
-void ss_lead_watch (SsNode *node, SsPromotion *promotion, const SsGroup *group);
-/* ss_lead_is_suspect: whether the primary of GROUP is considered failed. */
-bool ss_lead_is_suspect (SsNode *node, const SsPromotion *promotion,
-                         const SsGroup *group);
-/* ss_lead_begin: starts the platform's promotion of the chosen server. */
-void ss_lead_begin (SsNode *node, SsPromotion *promotion);
-void ss_lead_tick (SsNode *node, SsPromotion *promotion);
-/* ss_lead_duty: handles the result of a read or write of the duty object. */
-void ss_lead_duty (SsNode *node, uint64_t call, SsPlatformOutcome outcome,
-                   const SsObject *object);
+bool ss_coordinator_is_self (SsNode *node);
+/* ss_coordinator_next_term: returns the term that a new primary of GROUP will
+ * lead. */
+uint64_t ss_coordinator_next_term (const SsGroup *group);
+/* ss_coordinator_adopt_primary: starts to name the primary in GROUP's object if
+ * a server leads a later term than the object has, or leads its term while the
+ * object names no primary.  Returns whether it did.
+ */
+bool ss_coordinator_adopt_primary (SsNode *node, SsPromotion *promotion,
+                                   SsGroup *group);
+/* ss_coordinator_poll_replicas: polls the replicas while their primary is
+ * unreachable. */
+void ss_coordinator_poll_replicas (SsNode *node, SsPromotion *promotion,
+                                   const SsGroup *group);
+/* ss_coordinator_is_suspect: whether the primary of GROUP is considered failed.
+ */
+bool ss_coordinator_is_suspect (SsNode *node, const SsPromotion *promotion,
+                                const SsGroup *group);
+/* ss_coordinator_call_platform: starts the platform's promotion of the chosen
+ * server. */
+void ss_coordinator_call_platform (SsNode *node, SsPromotion *promotion);
+void ss_coordinator_tick (SsNode *node, SsPromotion *promotion);
+/* ss_coordinator_handle_duty: handles the result of a read or write of the duty
+ * object. */
+void ss_coordinator_handle_duty (SsNode *node, uint64_t call,
+                                 SsPlatformOutcome outcome,
+                                 const SsObject *object);
 
 #endif
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -25,7 +25,7 @@
   queue->last_finish_tags
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   queue->virtual_time = 0;
-  queue->service_ms = SS_QUEUE_INITIAL_RUN_MS;
+  queue->mean_run_ms = SS_QUEUE_INITIAL_RUN_MS;
   queue->sequence = 0;
   queue->bytes = 0;
 }
@@ -80,7 +80,7 @@
     ahead += class_length (queue, SS_QUEUE_READ);
   if (ahead == 0 && busy < usable)
     return 0;
-  return (uint32_t) (queue->service_ms * (ahead + 1) / usable);
+  return (uint32_t) (queue->mean_run_ms * (ahead + 1) / usable);
 }
 
 bool
@@ -179,8 +179,8 @@
   queue->running[queue_class]--;
   if (ran_ms < 0)
     return;
-  queue->service_ms
-      += SS_QUEUE_RUN_GAIN * ((double) ran_ms + 0.1 - queue->service_ms);
+  queue->mean_run_ms
+      += SS_QUEUE_RUN_GAIN * ((double) ran_ms + 0.1 - queue->mean_run_ms);
 }
 
 SsQueueItem *
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -42,7 +42,7 @@
   GSequence *waiting[SS_QUEUE_CLASSES];
   GHashTable *last_finish_tags; /* service -> its last finish tag */
   double virtual_time;
-  double service_ms; /* moving average of a statement's run time */
+  double mean_run_ms; /* moving average of a statement's run time */
   uint64_t sequence;
   uint32_t bytes;
   uint32_t running[SS_QUEUE_CLASSES];
--- a/src/core/hold.c
+++ b/src/core/quorum.c
@@ -39,9 +39,10 @@
 }
 
 void
-ss_hold_ask_status (SsNode *node, SsTarget *t)
+ss_quorum_request_status (SsNode *node, SsTarget *t)
 {
-  send_status_request (node, t, ++node->next_ask, (SsPosition){ 0, 0 }, 0);
+  send_status_request (node, t, ++node->next_status_request,
+                       (SsPosition){ 0, 0 }, 0);
 }
 
 /* --- commits that wait for replication to a majority --- */
@@ -57,7 +58,8 @@
 }
 
 static bool
-has_majority (const SsGroup *group, const SsOwned *owned, SsPosition commit)
+has_majority (const SsGroup *group, const SsOwnedTarget *owned,
+              SsPosition commit)
 {
   uint32_t replicated_count = 1; /* the primary that committed it */
 
@@ -69,14 +71,16 @@
 }
 
 static bool
-is_superseded (const SsGroup *group, const SsOwned *owned, SsPosition commit)
+is_superseded (const SsGroup *group, const SsOwnedTarget *owned,
+               SsPosition commit)
 {
   return group->term > commit.term
          || owned->target->state.shown_term > commit.term;
 }
 
 static void
-request_replica_status (SsNode *node, SsOwned *owned, const SsGroup *group)
+request_replica_status (SsNode *node, SsOwnedTarget *owned,
+                        const SsGroup *group)
 {
   uint32_t poll_after_ms = FIRST_POLL_AFTER_MS;
 
@@ -86,12 +90,12 @@
 
       if (t == owned->target || has_replicated (t, owned->unheld))
         continue;
-      if (owned->held_asks[i]
-          && node->now_ms - owned->held_asked_ms[i] < STATUS_RETRY_MS)
+      if (owned->replica_requests[i]
+          && node->now_ms - owned->replica_requested_ms[i] < STATUS_RETRY_MS)
         continue;
-      owned->held_asks[i] = ++node->next_ask;
-      owned->held_asked_ms[i] = node->now_ms;
-      send_status_request (node, t, owned->held_asks[i], owned->unheld,
+      owned->replica_requests[i] = ++node->next_status_request;
+      owned->replica_requested_ms[i] = node->now_ms;
+      send_status_request (node, t, owned->replica_requests[i], owned->unheld,
                            poll_after_ms);
       poll_after_ms = OTHERS_POLL_AFTER_MS;
     }
@@ -109,23 +113,24 @@
  * STALLED_AFTER_MS, new ones would wait as well until a replica has caught up.
  */
 static void
-update_stalled (SsNode *node, SsOwned *owned, const SsGroup *group)
+update_stalled (SsNode *node, SsOwnedTarget *owned, const SsGroup *group)
 {
   const SsJob *first = g_queue_peek_head (&owned->waiters);
-  bool stuck = owned->stuck;
+  bool replication_stalled = owned->replication_stalled;
 
   if (owned->unheld.offset
       && (has_majority (group, owned, owned->unheld)
           || is_superseded (group, owned, owned->unheld)))
     owned->unheld = (SsPosition){ 0, 0 };
   if (!owned->unheld.offset)
-    stuck = false;
+    replication_stalled = false;
   else if (first && node->now_ms - first->committed_ms >= STALLED_AFTER_MS)
-    stuck = true;
-  if (stuck == owned->stuck)
+    replication_stalled = true;
+  if (replication_stalled == owned->replication_stalled)
     return;
-  owned->stuck = stuck;
-  ss_node_log (node, stuck ? SS_EVENT_LOG_UNHELD : SS_EVENT_LOG_HELD,
+  owned->replication_stalled = replication_stalled;
+  ss_node_log (node,
+               replication_stalled ? SS_EVENT_LOG_UNHELD : SS_EVENT_LOG_HELD,
                owned->target->name,
                "group=%s unheld=%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT,
                group->name, owned->unheld.term, owned->unheld.offset);
@@ -135,7 +140,7 @@
  * passed.
  */
 static void
-check_waiters (SsNode *node, SsOwned *owned, const SsGroup *group)
+check_waiters (SsNode *node, SsOwnedTarget *owned, const SsGroup *group)
 {
   GList *next;
 
@@ -160,9 +165,9 @@
 }
 
 void
-ss_hold_wait (SsNode *node, SsJob *job)
+ss_quorum_wait (SsNode *node, SsJob *job)
 {
-  SsOwned *owned = job->owned;
+  SsOwnedTarget *owned = job->owned;
   SsGroup *group = ss_owned_group (node, owned);
 
   job->committed_ms = node->now_ms;
@@ -175,11 +180,11 @@
 }
 
 void
-ss_hold_check (SsNode *node, SsGroup *group)
+ss_quorum_check (SsNode *node, SsGroup *group)
 {
   for (uint32_t i = 0; i < group->server_count; i++)
     {
-      SsOwned *owned = ss_owner_find (node, group->servers[i]->name);
+      SsOwnedTarget *owned = ss_owner_find (node, group->servers[i]->name);
 
       if (!owned || !owned->unheld.offset)
         continue;
@@ -192,18 +197,18 @@
 /* --- rounds that confirm the primary's position --- */
 
 static void
-start_round (SsNode *node, SsOwned *owned, const SsGroup *group)
+start_round (SsNode *node, SsOwnedTarget *owned, const SsGroup *group)
 {
-  SsRound *r = &owned->round;
-  GPtrArray *askers = r->next;
+  SsConfirmationRound *r = &owned->round;
+  GPtrArray *requesters = r->next;
   bool polls_all;
 
-  r->next = r->askers;
-  r->askers = askers;
+  r->next = r->requesters;
+  r->requesters = requesters;
   g_ptr_array_set_size (r->next, 0);
   r->running = true;
   r->started_ms = node->now_ms;
-  r->ask = ++node->next_ask;
+  r->ask = ++node->next_status_request;
   r->due_ms = node->now_ms + ROUND_TIMEOUT_MS;
   r->confirmed = 0;
   r->has_position = false;
@@ -219,12 +224,12 @@
 }
 
 static void
-end_round (SsNode *node, SsOwned *owned, const SsGroup *group)
+end_round (SsNode *node, SsOwnedTarget *owned, const SsGroup *group)
 {
-  SsRound *r = &owned->round;
+  SsConfirmationRound *r = &owned->round;
 
   r->running = false;
-  g_ptr_array_set_size (r->askers, 0);
+  g_ptr_array_set_size (r->requesters, 0);
   if ((r->next->len || !g_queue_is_empty (&owned->unconfirmed))
       && owned->active)
     start_round (node, owned, group);
@@ -234,7 +239,7 @@
  * refuses them otherwise.
  */
 static void
-resolve_unconfirmed (SsNode *node, SsOwned *owned, bool confirmed)
+resolve_unconfirmed (SsNode *node, SsOwnedTarget *owned, bool confirmed)
 {
   GList *next;
 
@@ -255,9 +260,9 @@
 }
 
 void
-ss_hold_confirm (SsNode *node, SsJob *job)
+ss_quorum_confirm (SsNode *node, SsJob *job)
 {
-  SsOwned *owned = job->owned;
+  SsOwnedTarget *owned = job->owned;
   SsGroup *group = ss_owned_group (node, owned);
 
   if (!group || ss_lease_holds (node, group))
@@ -271,14 +276,14 @@
 }
 
 void
-ss_hold_note (SsNode *node, SsOwned *owned, int64_t sent_ms,
-              SsPosition position)
+ss_quorum_note_position (SsNode *node, SsOwnedTarget *owned, int64_t sent_ms,
+                         SsPosition position)
 {
   (void) node;
-  if (sent_ms < owned->seen.asked_ms)
+  if (sent_ms < owned->last_position.asked_ms)
     return;
-  owned->seen.asked_ms = sent_ms;
-  owned->seen.position = position;
+  owned->last_position.asked_ms = sent_ms;
+  owned->last_position.position = position;
 }
 
 /* Whether the primary's last response gives a position that can stand for a
@@ -286,25 +291,26 @@
  * term.
  */
 static bool
-has_fresh_position (SsNode *node, const SsOwned *owned, const SsGroup *group)
+has_fresh_position (SsNode *node, const SsOwnedTarget *owned,
+                    const SsGroup *group)
 {
-  return ss_dialect_keeps_sessions (node->dialect)
+  return ss_dialect_multiplexes_sessions (node->dialect)
          && ss_lease_holds (node, group)
-         && owned->seen.position.term == group->term
-         && node->now_ms - owned->seen.asked_ms <= POSITION_MAX_AGE_MS;
+         && owned->last_position.position.term == group->term
+         && node->now_ms - owned->last_position.asked_ms <= POSITION_MAX_AGE_MS;
 }
 
 bool
-ss_hold_position (SsNode *node, SsOwned *owned, SsPosition *position,
-                  uint32_t *age_ms)
+ss_quorum_position (SsNode *node, SsOwnedTarget *owned, SsPosition *position,
+                    uint32_t *age_ms)
 {
   const SsGroup *group = ss_owned_group (node, owned);
 
   if (!group || ss_group_primary (group) != owned->target
       || !has_fresh_position (node, owned, group))
     return false;
-  *position = owned->seen.position;
-  *age_ms = (uint32_t) (node->now_ms - owned->seen.asked_ms);
+  *position = owned->last_position.position;
+  *age_ms = (uint32_t) (node->now_ms - owned->last_position.asked_ms);
   return true;
 }
 
@@ -327,13 +333,13 @@
 }
 
 static void
-answer_round (SsNode *node, const SsOwned *owned, const SsGroup *group)
+answer_round (SsNode *node, const SsOwnedTarget *owned, const SsGroup *group)
 {
-  const SsRound *r = &owned->round;
+  const SsConfirmationRound *r = &owned->round;
 
-  for (guint i = 0; i < r->askers->len; i++)
+  for (guint i = 0; i < r->requesters->len; i++)
     {
-      const SsAsk *request = g_ptr_array_index (r->askers, i);
+      const SsStatusRequest *request = g_ptr_array_index (r->requesters, i);
       guint count = g_strv_length (request->identities);
       SsEnvelope e = SS__PEER__ENVELOPE__INIT;
       Ss__Peer__MarkReply m = SS__PEER__MARK_REPLY__INIT;
@@ -374,23 +380,24 @@
 }
 
 void
-ss_hold_round_ask (SsNode *node, const char *from, const Ss__Peer__MarkAsk *m)
+ss_quorum_handle_mark_ask (SsNode *node, const char *from,
+                           const Ss__Peer__MarkAsk *m)
 {
   SsGroup *group = ss_config_group (&node->config, m->group);
   SsTarget *primary = group ? ss_group_primary (group) : NULL;
-  SsOwned *owned = primary ? ss_owner_find (node, primary->name) : NULL;
-  SsAsk *request;
+  SsOwnedTarget *owned = primary ? ss_owner_find (node, primary->name) : NULL;
+  SsStatusRequest *request;
 
   if (!owned || !owned->active)
     return;
   if (has_fresh_position (node, owned, group))
     {
       send_confirmed_position (
-          node, from, group, m->nonce, owned->seen.position,
-          (uint32_t) (node->now_ms - owned->seen.asked_ms));
+          node, from, group, m->nonce, owned->last_position.position,
+          (uint32_t) (node->now_ms - owned->last_position.asked_ms));
       return;
     }
-  request = g_new0 (SsAsk, 1);
+  request = g_new0 (SsStatusRequest, 1);
   request->vm = g_strdup (from);
   request->ask = m->nonce;
   request->identities = copy_identities (m);
@@ -407,9 +414,9 @@
 
 /* Ends the round if the primary is confirmed. */
 static void
-check_round (SsNode *node, SsOwned *owned, const SsGroup *group)
+check_round (SsNode *node, SsOwnedTarget *owned, const SsGroup *group)
 {
-  SsRound *r = &owned->round;
+  SsConfirmationRound *r = &owned->round;
   bool by_servers = count_bits (r->confirmed) >= ss_group_majority (group)
                     && ss_lease_may_ask_servers (node);
 
@@ -425,10 +432,10 @@
  * anything by then.
  */
 static void
-on_round_response (SsNode *node, SsOwned *owned, const SsGroup *group,
+on_round_response (SsNode *node, SsOwnedTarget *owned, const SsGroup *group,
                    uint32_t server, const SsServerState *state)
 {
-  SsRound *r = &owned->round;
+  SsConfirmationRound *r = &owned->round;
 
   if (!state->reachable)
     return;
@@ -449,24 +456,24 @@
 }
 
 void
-ss_hold_leased (SsNode *node, SsGroup *group)
+ss_quorum_lease_obtained (SsNode *node, SsGroup *group)
 {
   SsTarget *primary = ss_group_primary (group);
-  SsOwned *owned = primary ? ss_owner_find (node, primary->name) : NULL;
+  SsOwnedTarget *owned = primary ? ss_owner_find (node, primary->name) : NULL;
 
   if (owned && owned->round.running)
     check_round (node, owned, group);
 }
 
 void
-ss_hold_report (SsNode *node, SsTarget *target, uint64_t ask,
-                const SsServerState *state)
+ss_quorum_handle_status (SsNode *node, SsTarget *target, uint64_t ask,
+                         const SsServerState *state)
 {
   SsGroup *group = ss_config_group (&node->config, target->group);
 
   for (uint32_t i = 0; group && i < group->server_count; i++)
     {
-      SsOwned *owned = ss_owner_find (node, group->servers[i]->name);
+      SsOwnedTarget *owned = ss_owner_find (node, group->servers[i]->name);
 
       if (!owned)
         continue;
@@ -474,8 +481,8 @@
         {
           if (group->servers[j] != target)
             continue;
-          if (owned->held_asks[j] == ask)
-            owned->held_asks[j] = 0;
+          if (owned->replica_requests[j] == ask)
+            owned->replica_requests[j] = 0;
           if (owned->round.running && owned->round.ask == ask)
             on_round_response (node, owned, group, j, state);
         }
@@ -483,7 +490,7 @@
 }
 
 void
-ss_hold_tick (SsNode *node, SsOwned *owned)
+ss_quorum_tick (SsNode *node, SsOwnedTarget *owned)
 {
   SsGroup *group = ss_owned_group (node, owned);
 
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -37,7 +37,7 @@
 void
 ss_relay_init (SsNode *node)
 {
-  ss_views_init (node);
+  ss_relay_views_init (node);
   node->reports
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -45,7 +45,7 @@
 void
 ss_relay_finish (SsNode *node)
 {
-  ss_views_finish (node);
+  ss_relay_views_finish (node);
   g_hash_table_destroy (node->reports);
 }
 
@@ -70,8 +70,8 @@
   if (strcmp (m->vm, node->params.vm) == 0)
     return true;
   if (is_own_domain (node, m))
-    return node->now_ms - m->heard_ms < SS_MEMBER_SILENCE_MS;
-  return node->now_ms - m->remote_report_ms < SS_MEMBER_REPORTED_MS;
+    return node->now_ms - m->heard_ms < SS_MEMBER_HEARTBEAT_TIMEOUT_MS;
+  return node->now_ms - m->remote_report_ms < SS_MEMBER_REPORT_TIMEOUT_MS;
 }
 
 static gboolean
@@ -146,7 +146,7 @@
 }
 
 void
-ss_relay_answer (SsNode *node, const char *vm, uint64_t known_hash)
+ss_relay_send_digest (SsNode *node, const char *vm, uint64_t known_hash)
 {
   GPtrArray *vms = collect_live (node, false);
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -198,7 +198,7 @@
   RelayList *r = data;
   const SsMember *m = value;
 
-  if (r->node->now_ms - m->domain_report_ms < SS_MEMBER_SILENCE_MS
+  if (r->node->now_ms - m->domain_report_ms < SS_MEMBER_HEARTBEAT_TIMEOUT_MS
       && !is_own_domain (r->node, m)
       && !g_ptr_array_find_with_equal_func (r->relays, key, g_str_equal, NULL))
     g_ptr_array_add (r->relays, key);
@@ -236,7 +236,7 @@
   Domain d = { failure_domain, false, g_ptr_array_new () };
 
   g_tree_foreach (node->members.by_name, collect_listed, &d);
-  if (d.any_live || !ss_members_is_unsure (&node->members, node->now_ms))
+  if (d.any_live || !ss_members_in_relay_grace (&node->members, node->now_ms))
     ss_members_relays (&node->members, failure_domain, node->now_ms, relays);
   else
     g_ptr_array_extend (relays, d.listed, NULL, NULL);
@@ -369,13 +369,13 @@
 
   ss_members_relays (&node->members, node->params.failure_domain, node->now_ms,
                      relays);
-  if (ss_members_is_unsure (&node->members, node->now_ms))
+  if (ss_members_in_relay_grace (&node->members, node->now_ms))
     g_tree_foreach (node->members.by_name, add_own_live, &list);
   return relays;
 }
 
 void
-ss_relay_beat (SsNode *node, SsEnvelope *beat)
+ss_relay_send_heartbeat (SsNode *node, SsEnvelope *beat)
 {
   GPtrArray *relays = own_relays (node);
   bool is_relay = false;
@@ -390,12 +390,12 @@
           continue;
         }
       update_relay_timeout (node, ss_members_find (&node->members, vm));
-      beat->heartbeat->digest = ss_views_hash (node, vm);
+      beat->heartbeat->digest = ss_relay_views_hash (node, vm);
       ss_node_send (node, vm, beat);
     }
   if (is_relay)
     {
-      ss_members_told (&node->members, node->now_ms);
+      ss_members_record_relay_answer (&node->members, node->now_ms);
       send_reports (node);
     }
   g_ptr_array_free (relays, TRUE);
@@ -414,43 +414,44 @@
       if (!*s->vm || strcmp (s->vm, node->params.vm) == 0 || s->peer_port == 0
           || s->peer_port > 65535)
         continue;
-      m = ss_spread_add_member (node, s->vm, s->failure_domain, s->ip,
-                                (uint16_t) s->peer_port);
-      ss_members_reported (&node->members, m, s->leaving, s->platform_up,
-                           node->now_ms);
+      m = ss_peers_add_member (node, s->vm, s->failure_domain, s->ip,
+                               (uint16_t) s->peer_port);
+      ss_members_record_report (&node->members, m, s->leaving, s->platform_up,
+                                node->now_ms);
     }
 }
 
 void
-ss_relay_digest (SsNode *node, const char *from, const Ss__Peer__Digest *digest)
+ss_relay_handle_digest (SsNode *node, const char *from,
+                        const Ss__Peer__Digest *digest)
 {
   SsMember *m = ss_members_find (&node->members, from);
 
   if (!m)
     return;
   m->heard_ms = node->now_ms;
-  ss_members_told (&node->members, node->now_ms);
+  ss_members_record_relay_answer (&node->members, node->now_ms);
   if (digest->full)
     {
       apply_states (node, digest->vms, digest->n_vms);
-      ss_views_keep (node, from, m->failure_domain, digest->hash, digest->vms,
-                     digest->n_vms);
+      ss_relay_views_store (node, from, m->failure_domain, digest->hash,
+                            digest->vms, digest->n_vms);
     }
-  if (digest->hash == ss_views_hash (node, from))
-    ss_views_refresh (node, from, false);
+  if (digest->hash == ss_relay_views_hash (node, from))
+    ss_relay_views_refresh (node, from, false);
   if (digest->config_hash == node->config.hash)
-    node->config_differs_ms = node->now_ms;
-  else if (node->now_ms - node->config_differs_ms >= PULL_INTERVAL_MS
-           && !ss_feeds_watches (node))
+    node->config_synced_ms = node->now_ms;
+  else if (node->now_ms - node->config_synced_ms >= PULL_INTERVAL_MS
+           && !ss_watch_is_active (node))
     {
-      node->config_differs_ms = node->now_ms;
-      ss_adopt_pull_all (node, from);
+      node->config_synced_ms = node->now_ms;
+      ss_config_sync_pull_all (node, from);
     }
 }
 
 void
-ss_relay_report (SsNode *node, const char *from,
-                 const Ss__Peer__DomainReport *report)
+ss_relay_handle_report (SsNode *node, const char *from,
+                        const Ss__Peer__DomainReport *report)
 {
   SsMember *m = ss_members_find (&node->members, from);
 
@@ -461,9 +462,9 @@
   if (report->full)
     {
       apply_states (node, report->vms, report->n_vms);
-      ss_views_keep (node, from, report->failure_domain, report->hash,
-                     report->vms, report->n_vms);
+      ss_relay_views_store (node, from, report->failure_domain, report->hash,
+                            report->vms, report->n_vms);
     }
-  if (report->hash == ss_views_hash (node, from))
-    ss_views_refresh (node, from, true);
+  if (report->hash == ss_relay_views_hash (node, from))
+    ss_relay_views_refresh (node, from, true);
 }
--- a/src/core/views.c
+++ b/src/core/relay_views.c
@@ -1,4 +1,4 @@
-/* views: which VMs the relays report as live.
+/* relay_views: which VMs the relays report as live.
  *
  * A relay sends its full list of live VMs when the list changed, and otherwise
  * only the hash of the list.
@@ -25,22 +25,22 @@
 }
 
 void
-ss_views_init (SsNode *node)
+ss_relay_views_init (SsNode *node)
 {
-  node->views
+  node->relay_views
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_view);
 }
 
 void
-ss_views_finish (SsNode *node)
+ss_relay_views_finish (SsNode *node)
 {
-  g_hash_table_destroy (node->views);
+  g_hash_table_destroy (node->relay_views);
 }
 
 uint64_t
-ss_views_hash (const SsNode *node, const char *vm)
+ss_relay_views_hash (const SsNode *node, const char *vm)
 {
-  const View *v = g_hash_table_lookup (node->views, vm);
+  const View *v = g_hash_table_lookup (node->relay_views, vm);
 
   return v ? v->hash : 0;
 }
@@ -53,13 +53,13 @@
   gpointer relay;
   gpointer view;
 
-  g_hash_table_iter_init (&iter, node->views);
+  g_hash_table_iter_init (&iter, node->relay_views);
   while (g_hash_table_iter_next (&iter, &relay, &view))
     {
       const View *v = view;
       const SsMember *m = ss_members_find (&node->members, relay);
 
-      if (node->now_ms - v->confirmed_ms < SS_MEMBER_SILENCE_MS
+      if (node->now_ms - v->confirmed_ms < SS_MEMBER_HEARTBEAT_TIMEOUT_MS
           && g_hash_table_contains (v->vms, vm) && m
           && strcmp (m->failure_domain, failure_domain) == 0)
         return true;
@@ -74,7 +74,7 @@
 static void
 expire_omitted (SsNode *node, const char *failure_domain, GHashTable *before)
 {
-  int64_t expired_ms = node->now_ms - SS_MEMBER_REPORTED_MS;
+  int64_t expired_ms = node->now_ms - SS_MEMBER_REPORT_TIMEOUT_MS;
   GHashTableIter iter;
   gpointer vm;
 
@@ -91,10 +91,11 @@
 }
 
 void
-ss_views_keep (SsNode *node, const char *from, const char *failure_domain,
-               uint64_t hash, Ss__Peer__VmState **vms, size_t count)
+ss_relay_views_store (SsNode *node, const char *from,
+                      const char *failure_domain, uint64_t hash,
+                      Ss__Peer__VmState **vms, size_t count)
 {
-  const View *before = g_hash_table_lookup (node->views, from);
+  const View *before = g_hash_table_lookup (node->relay_views, from);
   GHashTable *listed = before ? g_hash_table_ref (before->vms) : NULL;
   View *v = g_new0 (View, 1);
 
@@ -103,7 +104,7 @@
   v->vms = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (size_t i = 0; i < count; i++)
     g_hash_table_add (v->vms, g_strdup (vms[i]->vm));
-  g_hash_table_replace (node->views, g_strdup (from), v);
+  g_hash_table_replace (node->relay_views, g_strdup (from), v);
   if (!listed)
     return;
   expire_omitted (node, failure_domain, listed);
@@ -111,9 +112,9 @@
 }
 
 void
-ss_views_refresh (SsNode *node, const char *from, bool remote)
+ss_relay_views_refresh (SsNode *node, const char *from, bool remote)
 {
-  View *v = g_hash_table_lookup (node->views, from);
+  View *v = g_hash_table_lookup (node->relay_views, from);
   GHashTableIter iter;
   gpointer vm;
 
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -28,7 +28,7 @@
 {
   const SsService *service = ss_config_service (&node->config, s->service);
 
-  return service && service->knows_callers ? s->user : "";
+  return service && service->identifies_callers ? s->user : "";
 }
 
 SsAction *
@@ -129,8 +129,8 @@
 void
 ss_request_end_wait (SsNode *node, SsRequest *r)
 {
-  if (r->wait == SS_WAIT_VIEW)
-    node->view_waiters--;
+  if (r->wait == SS_WAIT_STATUS)
+    node->status_waiters--;
   r->wait = SS_WAIT_NONE;
 }
 
@@ -207,7 +207,7 @@
 ss_session_note_loss_reported (SsSession *s, const char *sql)
 {
   s->loss_unreported = false;
-  if (ss_local_ends_transaction (sql))
+  if (ss_sql_ends_transaction (sql))
     s->status = 'I';
 }
 
@@ -249,8 +249,8 @@
 {
   r->wait = wait;
   r->wait_due_ms = node->now_ms + wait_ms;
-  if (wait == SS_WAIT_VIEW)
-    node->view_waiters++;
+  if (wait == SS_WAIT_STATUS)
+    node->status_waiters++;
   if (wait == SS_WAIT_PRIMARY)
     ss_node_log (node, SS_EVENT_LOG_REQUEST_WAITS,
                  r->label ? r->label : r->trace,
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -25,10 +25,10 @@
   if (!s->request_key || r->is_read)
     return false;
   if (s->pinned_vm)
-    return ss_local_first_word (r->sql, "commit")
-           || ss_local_first_word (r->sql, "end");
-  return !ss_local_first_word (r->sql, "begin")
-         && !ss_local_first_word (r->sql, "start");
+    return ss_sql_begins_with (r->sql, "commit")
+           || ss_sql_begins_with (r->sql, "end");
+  return !ss_sql_begins_with (r->sql, "begin")
+         && !ss_sql_begins_with (r->sql, "start");
 }
 
 static gboolean
@@ -104,10 +104,10 @@
  * position first.
  */
 static bool
-find_floor (SsNode *node, SsRequest *r, SsMarks *confirmed)
+find_floor (SsNode *node, SsRequest *r, SsConfirmedPositions *confirmed)
 {
   SsSession *s = r->session;
-  SsMark found;
+  SsConfirmedPosition found;
 
   r->floor = s->floor;
   if (r->strict)
@@ -124,19 +124,19 @@
       if (confirmed->latest.seq <= s->open_seq)
         return false;
       ss_session_raise_floor (
-          s, ss_marks_floor (confirmed, ss_session_identity (node, s)));
+          s, ss_confirmed_floor (confirmed, ss_session_identity (node, s)));
       ss_session_send_token (node, s);
       r->floor = s->floor;
       return true;
     }
-  if (!ss_marks_within (confirmed, node->now_ms - r->staleness_ms, &found))
+  if (!ss_confirmed_since (confirmed, node->now_ms - r->staleness_ms, &found))
     return false;
   r->floor = ss_position_max (s->floor, found.position);
   /* Request the next confirmed position early, so that the next read does not
    * have to wait for one.
    */
   if (node->now_ms - confirmed->latest.asked_ms > r->staleness_ms / 4)
-    ss_marks_ask (node, confirmed);
+    ss_confirmed_request (node, confirmed);
   return true;
 }
 
@@ -151,7 +151,7 @@
 
   if (!t || t->state_ms || left_ms <= 0)
     return false;
-  ss_request_begin_wait (node, r, SS_WAIT_VIEW, left_ms);
+  ss_request_begin_wait (node, r, SS_WAIT_STATUS, left_ms);
   return true;
 }
 
@@ -179,7 +179,7 @@
 {
   int64_t until_ms = 0;
 
-  if (ss_dialect_keeps_sessions (node->dialect)
+  if (ss_dialect_multiplexes_sessions (node->dialect)
       && ss_predict_primary (node, group, r->deadline_ms, &until_ms))
     ss_request_begin_wait (node, r, SS_WAIT_PRIMARY, until_ms - node->now_ms);
   else
@@ -189,7 +189,7 @@
 static void
 route_read (SsNode *node, SsRequest *r, SsGroup *group)
 {
-  SsMarks *confirmed = ss_marks_get (node, group->name);
+  SsConfirmedPositions *confirmed = ss_confirmed_get (node, group->name);
   SsTarget *t;
 
   if (!find_floor (node, r, confirmed))
@@ -199,11 +199,11 @@
           wait_for_primary (node, r, group);
           return;
         }
-      ss_request_begin_wait (node, r, SS_WAIT_MARK, CONFIRM_WAIT_MS);
-      ss_marks_ask (node, confirmed);
+      ss_request_begin_wait (node, r, SS_WAIT_CONFIRMED, CONFIRM_WAIT_MS);
+      ss_confirmed_request (node, confirmed);
       return;
     }
-  t = ss_dialect_keeps_sessions (node->dialect)
+  t = ss_dialect_multiplexes_sessions (node->dialect)
           ? ss_choice_checked_read (node, r, group)
           : ss_choice_read (node, group, r->floor, r->tried, r->tries);
   if (t)
@@ -238,7 +238,7 @@
   else if (!group)
     ss_request_finish (node, r, SS_VERDICT_NOT_RUN, SS_REASON_NO_SERVICE, 0);
   else if (r->is_read
-           && !(r->strict && ss_dialect_keeps_sessions (node->dialect)))
+           && !(r->strict && ss_dialect_multiplexes_sessions (node->dialect)))
     route_read (node, r, group);
   else
     route_write (node, r, group);
@@ -264,7 +264,7 @@
 
   if (!service)
     return true;
-  if (ss_dialect_keeps_sessions (node->dialect))
+  if (ss_dialect_multiplexes_sessions (node->dialect))
     {
       kind = service->default_kind;
       r->strict = strcmp (kind, "strict") == 0;
@@ -273,14 +273,14 @@
     }
   if (!kind)
     kind = service->default_kind;
-  if (ss_local_is_read_only (r->sql))
+  if (ss_sql_is_read_only_begin (r->sql))
     {
       r->is_read = true;
       kind = *kind && strcmp (kind, "write") != 0 ? kind : "session";
     }
   else if (strcmp (kind, "write") != 0 && *kind)
-    r->is_read = !ss_local_first_word (r->sql, "begin")
-                 && !ss_local_first_word (r->sql, "start");
+    r->is_read = !ss_sql_begins_with (r->sql, "begin")
+                 && !ss_sql_begins_with (r->sql, "start");
   if (!r->is_read)
     return true;
   r->strict = s->strict || strcmp (kind, "strict") == 0;
--- a/src/core/scan.c
+++ b/src/core/scanner.c
@@ -1,11 +1,11 @@
-#include "core/scan.h"
+#include "core/scanner.h"
 
 #include <string.h>
 
 #define NAME_CHARACTERS G_CSET_A_2_Z G_CSET_a_2_z "0123456789"
 
 GScanner *
-ss_scan_new (const char *text, const char *name_extra)
+ss_scanner_new (const char *text, const char *name_extra)
 {
   GScanner *s = g_scanner_new (NULL);
   char *nth = g_strconcat (NAME_CHARACTERS, name_extra, NULL);
@@ -23,7 +23,7 @@
 }
 
 bool
-ss_scan_word (GScanner *scanner, const char *word)
+ss_scanner_next_is_word (GScanner *scanner, const char *word)
 {
   if (g_scanner_peek_next_token (scanner) != G_TOKEN_IDENTIFIER
       || g_ascii_strcasecmp (scanner->next_value.v_identifier, word) != 0)
@@ -33,7 +33,7 @@
 }
 
 bool
-ss_scan_char (GScanner *scanner, char c)
+ss_scanner_next_is_char (GScanner *scanner, char c)
 {
   if (g_scanner_peek_next_token (scanner) != (GTokenType) c)
     return false;
--- a/src/core/session.c
+++ b/src/core/session.c
@@ -145,17 +145,18 @@
 }
 
 void
-ss_session_run_setting (SsNode *node, SsSession *s, const SsLocal *setting)
+ss_session_run_setting (SsNode *node, SsSession *s,
+                        const SsSettingStatement *setting)
 {
   const char *error;
 
-  if (setting->kind == SS_LOCAL_MALFORMED)
+  if (setting->kind == SS_SETTING_STATEMENT_MALFORMED)
     {
       ss_session_refuse (node, s, SS_REASON_BAD_SETTING,
                          "expected SET sapphirestair.NAME = 'VALUE'");
       return;
     }
-  if (setting->kind == SS_LOCAL_SHOW)
+  if (setting->kind == SS_SETTING_STATEMENT_SHOW)
     {
       show_setting (node, s, setting->name);
       return;
--- a/src/core/local.c
+++ b/src/core/sql.c
@@ -1,10 +1,10 @@
-/* local: SET, RESET and SHOW of session settings, which the proxy answers
+/* sql: SET, RESET and SHOW of session settings, which the proxy answers
  * itself, and the first words of other statements.
  */
 #include <string.h>
 
 #include "core/internal.h"
-#include "core/scan.h"
+#include "core/scanner.h"
 
 #define PREFIX "sapphirestair."
 
@@ -45,22 +45,22 @@
 }
 
 static void
-parse_set (SsLocal *setting, GScanner *s)
+parse_set (SsSettingStatement *setting, GScanner *s)
 {
-  ss_scan_word (s, "session");
+  ss_scanner_next_is_word (s, "session");
   setting->name = take_setting_name (s);
   if (!setting->name)
     return;
-  setting->kind = SS_LOCAL_SET;
+  setting->kind = SS_SETTING_STATEMENT_SET;
   if (g_scanner_peek_next_token (s) == (GTokenType) '=')
     g_scanner_get_next_token (s);
   else
-    ss_scan_word (s, "to");
+    ss_scanner_next_is_word (s, "to");
   setting->value = take_value (s);
 }
 
 void
-ss_local_init (SsLocal *setting, const char *sql)
+ss_sql_parse_setting (SsSettingStatement *setting, const char *sql)
 {
   GScanner *s;
 
@@ -68,36 +68,38 @@
   /* Most statements are none of these.  Check the first word before the costly
    * set-up of a scanner.
    */
-  if (!ss_local_first_word (sql, "set") && !ss_local_first_word (sql, "reset")
-      && !ss_local_first_word (sql, "show"))
+  if (!ss_sql_begins_with (sql, "set") && !ss_sql_begins_with (sql, "reset")
+      && !ss_sql_begins_with (sql, "show"))
     return;
-  s = ss_scan_new (sql, "_.");
-  if (ss_scan_word (s, "set"))
+  s = ss_scanner_new (sql, "_.");
+  if (ss_scanner_next_is_word (s, "set"))
     parse_set (setting, s);
-  else if (ss_scan_word (s, "reset"))
+  else if (ss_scanner_next_is_word (s, "reset"))
     {
       setting->name = take_setting_name (s);
-      setting->kind = setting->name ? SS_LOCAL_SET : SS_LOCAL_NONE;
+      setting->kind = setting->name ? SS_SETTING_STATEMENT_SET
+                                    : SS_SETTING_STATEMENT_NONE;
     }
-  else if (ss_scan_word (s, "show"))
+  else if (ss_scanner_next_is_word (s, "show"))
     {
       setting->name = take_setting_name (s);
-      setting->kind = setting->name ? SS_LOCAL_SHOW : SS_LOCAL_NONE;
+      setting->kind = setting->name ? SS_SETTING_STATEMENT_SHOW
+                                    : SS_SETTING_STATEMENT_NONE;
     }
   if (setting->name && !at_end (s))
-    setting->kind = SS_LOCAL_MALFORMED;
+    setting->kind = SS_SETTING_STATEMENT_MALFORMED;
   g_scanner_destroy (s);
 }
 
 void
-ss_local_finish (SsLocal *setting)
+ss_sql_setting_finish (SsSettingStatement *setting)
 {
   g_free (setting->name);
   g_free (setting->value);
 }
 
 bool
-ss_local_first_word (const char *sql, const char *word)
+ss_sql_begins_with (const char *sql, const char *word)
 {
   size_t bytes = strlen (word);
 
@@ -108,27 +110,27 @@
 }
 
 bool
-ss_local_is_read_only (const char *sql)
+ss_sql_is_read_only_begin (const char *sql)
 {
   GScanner *s;
   bool read_only;
 
-  if (!ss_local_first_word (sql, "begin")
-      && !ss_local_first_word (sql, "start"))
+  if (!ss_sql_begins_with (sql, "begin") && !ss_sql_begins_with (sql, "start"))
     return false;
-  s = ss_scan_new (sql, "_.");
+  s = ss_scanner_new (sql, "_.");
   g_scanner_get_next_token (s);
-  if (!ss_scan_word (s, "transaction"))
-    ss_scan_word (s, "work");
-  read_only = ss_scan_word (s, "read") && ss_scan_word (s, "only");
+  if (!ss_scanner_next_is_word (s, "transaction"))
+    ss_scanner_next_is_word (s, "work");
+  read_only = ss_scanner_next_is_word (s, "read")
+              && ss_scanner_next_is_word (s, "only");
   g_scanner_destroy (s);
   return read_only;
 }
 
 bool
-ss_local_ends_transaction (const char *sql)
+ss_sql_ends_transaction (const char *sql)
 {
-  return ss_local_first_word (sql, "commit") || ss_local_first_word (sql, "end")
-         || ss_local_first_word (sql, "rollback")
-         || ss_local_first_word (sql, "abort");
+  return ss_sql_begins_with (sql, "commit") || ss_sql_begins_with (sql, "end")
+         || ss_sql_begins_with (sql, "rollback")
+         || ss_sql_begins_with (sql, "abort");
 }
--- a/src/core/opens.c
+++ b/src/core/startup.c
@@ -1,4 +1,4 @@
-/* opens: callers that connect while this VM starts.
+/* startup: callers that connect while this VM starts.
  *
  * After a power failure all callers reconnect at once, while every VM still
  * needs a fraction of a second to become ready.  A refusal would cost each
@@ -30,20 +30,20 @@
 }
 
 void
-ss_opens_init (SsNode *node)
+ss_startup_init (SsNode *node)
 {
-  g_queue_init (&node->opens);
+  g_queue_init (&node->startup_callers);
 }
 
 void
-ss_opens_finish (SsNode *node)
+ss_startup_finish (SsNode *node)
 {
-  g_queue_clear_full (&node->opens, free_waiting);
+  g_queue_clear_full (&node->startup_callers, free_waiting);
 }
 
 void
-ss_opens_add (SsNode *node, uint64_t caller, const char *service,
-              const char *user)
+ss_startup_add (SsNode *node, uint64_t caller, const char *service,
+                const char *user)
 {
   WaitingCaller *w = g_new0 (WaitingCaller, 1);
 
@@ -51,19 +51,19 @@
   w->service = g_strdup (service);
   w->user = g_strdup (user);
   w->since_ms = node->now_ms;
-  g_queue_push_tail (&node->opens, w);
+  g_queue_push_tail (&node->startup_callers, w);
 }
 
 void
-ss_opens_remove (SsNode *node, uint64_t caller)
+ss_startup_remove (SsNode *node, uint64_t caller)
 {
-  for (GList *l = node->opens.head; l; l = l->next)
+  for (GList *l = node->startup_callers.head; l; l = l->next)
     {
       WaitingCaller *w = l->data;
 
       if (w->caller != caller)
         continue;
-      g_queue_delete_link (&node->opens, l);
+      g_queue_delete_link (&node->startup_callers, l);
       free_waiting (w);
       return;
     }
@@ -73,17 +73,17 @@
  * that waited for too long, and all of them when this VM stops.
  */
 void
-ss_opens_tick (SsNode *node)
+ss_startup_tick (SsNode *node)
 {
   WaitingCaller *w;
 
-  while ((w = g_queue_peek_head (&node->opens)))
+  while ((w = g_queue_peek_head (&node->startup_callers)))
     {
       bool timed_out = node->now_ms - w->since_ms >= STARTUP_WAIT_MS;
 
       if (!node->ready && !node->stopping && !timed_out)
         return;
-      g_queue_pop_head (&node->opens);
+      g_queue_pop_head (&node->startup_callers);
       if (node->ready || node->stopping)
         ss_entry_open (node, w->caller, w->service, w->user, NULL);
       else
--- a/src/core/statement.c
+++ b/src/core/statement.c
@@ -67,7 +67,7 @@
   s->begin_due = true;
   s->begin_is_read = st->is_read;
   s->begin_wrote = false;
-  s->begin_seq = ss_marks_get (node, group->name)->last_seq;
+  s->begin_seq = ss_confirmed_get (node, group->name)->last_seq;
   reply_done (node, s);
 }
 
--- a/src/core/tables.c
+++ b/src/core/tables.c
@@ -64,7 +64,7 @@
 static json_t *
 target_row (SsNode *node, SsTarget *t)
 {
-  const SsOwned *owned = ss_owner_find (node, t->name);
+  const SsOwnedTarget *owned = ss_owner_find (node, t->name);
   const SsServerState *s = &t->state;
   const char *owner = ss_node_owner (node, t);
   char held[SS_POSITION_TEXT_BYTES];
@@ -219,7 +219,7 @@
 }
 
 bool
-ss_tables_is_shared (SsTable table)
+ss_tables_is_per_vm (SsTable table)
 {
   return table == SS_TABLE_TARGETS || table == SS_TABLE_VMS
          || table == SS_TABLE_SESSIONS || table == SS_TABLE_COUNTERS;
--- a/src/core/tables.h
+++ b/src/core/tables.h
@@ -13,7 +13,7 @@
  */
 json_t *ss_tables_rows (SsNode *node, SsTable table);
 
-/* ss_tables_is_shared: whether TABLE combines rows of all VMs. */
-bool ss_tables_is_shared (SsTable table);
+/* ss_tables_is_per_vm: whether TABLE combines rows of all VMs. */
+bool ss_tables_is_per_vm (SsTable table);
 
 #endif
--- a/src/core/monitor.c
+++ b/src/core/target_monitor.c
@@ -1,5 +1,5 @@
-/* monitor: polls and reports the state of a target that this VM owns, and gives
- * the target its role, over a control connection.
+/* target_monitor: polls and reports the state of a target that this VM owns,
+ * and gives the target its role, over a control connection.
  */
 #include <string.h>
 
@@ -27,7 +27,7 @@
 } PackedState;
 
 static void
-pack_state (SsNode *node, const SsOwned *owned, PackedState *out)
+pack_state (SsNode *node, const SsOwnedTarget *owned, PackedState *out)
 {
   const SsServerState *s = &owned->target->state;
 
@@ -58,7 +58,8 @@
 }
 
 static void
-send_report (SsNode *node, const SsOwned *owned, const char *vm, uint64_t ask)
+send_report (SsNode *node, const SsOwnedTarget *owned, const char *vm,
+             uint64_t ask)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__StatusReport m = SS__PEER__STATUS_REPORT__INIT;
@@ -70,7 +71,8 @@
   m.target = owned->target->name;
   m.ask = ask;
   m.state = &packed.state;
-  if (ss_hold_position (node, (SsOwned *) owned, &position, &m.mark_age_ms))
+  if (ss_quorum_position (node, (SsOwnedTarget *) owned, &position,
+                          &m.mark_age_ms))
     {
       ss_position_pack (&mark, position);
       m.mark = &mark;
@@ -91,16 +93,16 @@
 }
 
 static void
-send_reports (SsNode *node, SsOwned *owned)
+send_reports (SsNode *node, SsOwnedTarget *owned)
 {
   int64_t age_ms = node->now_ms - owned->reported_ms;
   bool changed = has_changed (&owned->reported, &owned->target->state);
-  const SsPace *pace = &node->params.pace;
+  const SsTiming *timing = &node->params.timing;
   GHashTableIter iter;
   gpointer vm;
   gpointer expiry;
 
-  if (age_ms < (changed ? pace->report_min_ms : pace->report_idle_ms))
+  if (age_ms < (changed ? timing->report_min_ms : timing->report_idle_ms))
     return;
   owned->reported = owned->target->state;
   owned->reported_ms = node->now_ms;
@@ -118,13 +120,13 @@
 #define SESSION_POSITION_TIMEOUT_MS 400
 
 void
-ss_monitor_answer (SsNode *node, SsOwned *owned)
+ss_target_monitor_answer_requests (SsNode *node, SsOwnedTarget *owned)
 {
   const SsServerState *s = &owned->target->state;
 
-  for (guint i = owned->asks->len; i > 0; i--)
+  for (guint i = owned->status_requests->len; i > 0; i--)
     {
-      SsAsk *ask = g_ptr_array_index (owned->asks, i - 1);
+      SsStatusRequest *ask = g_ptr_array_index (owned->status_requests, i - 1);
       bool held = s->held.term > ask->held.term
                   || (s->held.term == ask->held.term
                       && s->held.offset >= ask->held.offset)
@@ -135,18 +137,21 @@
       if (ask->held.offset && !held && node->now_ms < ask->expires_ms)
         continue;
       send_report (node, owned, ask->vm, ask->ask);
-      g_ptr_array_remove_index (owned->asks, i - 1);
+      g_ptr_array_remove_index (owned->status_requests, i - 1);
     }
   /* No poll is needed once no request is left. */
-  if (!owned->asks->len && ss_dialect_keeps_sessions (node->dialect))
-    owned->poll_due_ms = MAX (
-        owned->poll_due_ms, owned->polled_ms + node->params.pace.poll_idle_ms);
+  if (!owned->status_requests->len
+      && ss_dialect_multiplexes_sessions (node->dialect))
+    owned->poll_due_ms
+        = MAX (owned->poll_due_ms,
+               owned->polled_ms + node->params.timing.poll_idle_ms);
 }
 
 /* --- the control connection --- */
 
 static void
-start_control (SsNode *node, SsOwned *owned, SsControlStep step, char *sql)
+start_control (SsNode *node, SsOwnedTarget *owned, SsControlStep step,
+               char *sql)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_TARGET_QUERY);
 
@@ -159,7 +164,7 @@
 }
 
 static void
-start_poll (SsNode *node, SsOwned *owned)
+start_poll (SsNode *node, SsOwnedTarget *owned)
 {
   owned->poll++;
   owned->polled_ms = node->now_ms;
@@ -171,7 +176,7 @@
  * says, to be freed, or NULL if it already has that role.
  */
 static char *
-reconcile (SsNode *node, SsOwned *owned, SsControlStep *step)
+reconcile (SsNode *node, SsOwnedTarget *owned, SsControlStep *step)
 {
   SsGroup *group = ss_owned_group (node, owned);
   SsTarget *primary = group ? ss_group_primary (group) : NULL;
@@ -199,7 +204,7 @@
 }
 
 static void
-send_raise_replies (SsNode *node, SsOwned *owned, bool accepted)
+send_raise_replies (SsNode *node, SsOwnedTarget *owned, bool accepted)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__RaiseReply m = SS__PEER__RAISE_REPLY__INIT;
@@ -212,15 +217,15 @@
   m.state = &packed.state;
   e.body_case = SS__PEER__ENVELOPE__BODY_RAISE_REPLY;
   e.raise_reply = &m;
-  for (guint i = 0; i < owned->raise_vms->len; i++)
-    ss_node_send (node, g_ptr_array_index (owned->raise_vms, i), &e);
-  g_ptr_array_set_size (owned->raise_vms, 0);
+  for (guint i = 0; i < owned->raise_requesters->len; i++)
+    ss_node_send (node, g_ptr_array_index (owned->raise_requesters, i), &e);
+  g_ptr_array_set_size (owned->raise_requesters, 0);
   owned->raise_term = 0;
 }
 
 /* Starts the next statement on an idle control connection. */
 static void
-start_next_statement (SsNode *node, SsOwned *owned)
+start_next_statement (SsNode *node, SsOwnedTarget *owned)
 {
   SsControlStep step = SS_CONTROL_NONE;
   char *sql;
@@ -268,7 +273,7 @@
 }
 
 static void
-handle_poll (SsNode *node, SsOwned *owned, const SsTargetResult *result)
+handle_poll (SsNode *node, SsOwnedTarget *owned, const SsTargetResult *result)
 {
   SsTarget *t = owned->target;
   SsServerState old = t->state;
@@ -282,49 +287,51 @@
                                       result->row_cells, &state))
     return;
   state.reachable = true;
-  ss_node_take_state (node, t, &state,
-                      (uint32_t) (node->now_ms - owned->control_started_ms));
+  ss_node_update_state (node, t, &state,
+                        (uint32_t) (node->now_ms - owned->control_started_ms));
   log_role (node, t, &old);
   if (owned->raise_term && state.shown_term >= owned->raise_term)
     send_raise_replies (node, owned, state.shown_term == owned->raise_term);
-  ss_monitor_answer (node, owned);
+  ss_target_monitor_answer_requests (node, owned);
   send_reports (node, owned);
   if (group)
-    ss_hold_check (node, group);
+    ss_quorum_check (node, group);
 }
 
 /* Returns the time, in milliseconds, until the first status request needs a
  * poll.
  */
 static int64_t
-status_wait_ms (SsNode *node, const SsOwned *owned)
+status_wait_ms (SsNode *node, const SsOwnedTarget *owned)
 {
   int64_t wait_ms = SESSION_POSITION_TIMEOUT_MS;
 
-  for (guint i = 0; i < owned->asks->len; i++)
+  for (guint i = 0; i < owned->status_requests->len; i++)
     {
-      const SsAsk *ask = g_ptr_array_index (owned->asks, i);
+      const SsStatusRequest *ask
+          = g_ptr_array_index (owned->status_requests, i);
 
       wait_ms = MIN (wait_ms, ask->poll_ms - node->now_ms);
     }
-  return MAX (wait_ms, node->params.pace.poll_asked_ms);
+  return MAX (wait_ms, node->params.timing.poll_asked_ms);
 }
 
 static void
-schedule_poll (SsNode *node, SsOwned *owned)
+schedule_poll (SsNode *node, SsOwnedTarget *owned)
 {
   const SsServerState *s = &owned->target->state;
-  int64_t wait_ms = node->params.pace.poll_idle_ms;
+  int64_t wait_ms = node->params.timing.poll_idle_ms;
 
   if (s->applied.offset < s->held.offset)
-    wait_ms = node->params.pace.poll_lagging_ms;
-  if (owned->asks->len)
+    wait_ms = node->params.timing.poll_lagging_ms;
+  if (owned->status_requests->len)
     wait_ms = status_wait_ms (node, owned);
   owned->poll_due_ms = node->now_ms + wait_ms;
 }
 
 void
-ss_monitor_result (SsNode *node, SsOwned *owned, const SsTargetResult *result)
+ss_target_monitor_result (SsNode *node, SsOwnedTarget *owned,
+                          const SsTargetResult *result)
 {
   SsControlStep step = owned->control_step;
 
@@ -347,7 +354,7 @@
 }
 
 static void
-mark_unreachable (SsNode *node, SsOwned *owned, bool refused)
+mark_unreachable (SsNode *node, SsOwnedTarget *owned, bool refused)
 {
   SsServerState *s = &owned->target->state;
 
@@ -362,14 +369,14 @@
 }
 
 void
-ss_monitor_ready (SsNode *node, SsOwned *owned)
+ss_target_monitor_ready (SsNode *node, SsOwnedTarget *owned)
 {
   owned->poll_due_ms = node->now_ms;
   start_next_statement (node, owned);
 }
 
 void
-ss_monitor_closed (SsNode *node, SsOwned *owned, bool refused)
+ss_target_monitor_closed (SsNode *node, SsOwnedTarget *owned, bool refused)
 {
   owned->control_step = SS_CONTROL_NONE;
   owned->control_after_ms
@@ -379,7 +386,7 @@
 }
 
 static void
-check_connection (SsNode *node, SsOwned *owned)
+check_connection (SsNode *node, SsOwnedTarget *owned)
 {
   SsConnection *c = owned->control;
   int64_t bound_ms;
@@ -405,25 +412,26 @@
 }
 
 void
-ss_monitor_tick (SsNode *node, SsOwned *owned)
+ss_target_monitor_tick (SsNode *node, SsOwnedTarget *owned)
 {
   SsTarget *t = owned->target;
 
   check_connection (node, owned);
   if (t->state.reachable
-      && node->now_ms - t->reachable_ms >= node->params.pace.unreachable_ms)
+      && node->now_ms - t->reachable_ms >= node->params.timing.unreachable_ms)
     mark_unreachable (node, owned, false);
   if (!t->state.reachable
-      || node->now_ms - owned->reported_ms >= node->params.pace.report_idle_ms)
+      || node->now_ms - owned->reported_ms
+             >= node->params.timing.report_idle_ms)
     send_reports (node, owned);
   if (node->now_ms - MAX (t->reachable_ms, owned->polled_ms)
-      >= node->params.pace.silence_ms)
+      >= node->params.timing.silence_ms)
     owned->poll_due_ms = node->now_ms;
   start_next_statement (node, owned);
 }
 
 void
-ss_monitor_poll_soon (SsNode *node, SsOwned *owned)
+ss_target_monitor_poll_soon (SsNode *node, SsOwnedTarget *owned)
 {
   owned->poll_due_ms = node->now_ms;
   start_next_statement (node, owned);
@@ -432,40 +440,41 @@
 /* --- messages --- */
 
 void
-ss_monitor_ask (SsNode *node, const char *from, const Ss__Peer__StatusAsk *m)
+ss_target_monitor_handle_status_ask (SsNode *node, const char *from,
+                                     const Ss__Peer__StatusAsk *m)
 {
-  SsOwned *owned = ss_owner_find (node, m->target);
-  SsAsk *ask;
+  SsOwnedTarget *owned = ss_owner_find (node, m->target);
+  SsStatusRequest *ask;
 
   if (!owned || !owned->active)
     return;
-  ask = g_new0 (SsAsk, 1);
+  ask = g_new0 (SsStatusRequest, 1);
   ask->vm = g_strdup (from);
   ask->ask = m->ask;
   ask->held = ss_position_unpack (m->held);
   ask->poll = owned->poll + 1;
   ask->poll_ms = node->now_ms;
   ask->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
-  g_ptr_array_add (owned->asks, ask);
-  if (!ask->held.offset || !ss_dialect_keeps_sessions (node->dialect))
+  g_ptr_array_add (owned->status_requests, ask);
+  if (!ask->held.offset || !ss_dialect_multiplexes_sessions (node->dialect))
     {
-      ss_monitor_poll_soon (node, owned);
+      ss_target_monitor_poll_soon (node, owned);
       return;
     }
   ask->poll = 0;
   ask->poll_ms = node->now_ms + m->poll_after_ms;
   ask->expires_ms = node->now_ms + SESSION_POSITION_TIMEOUT_MS;
   owned->poll_due_ms = MIN (owned->poll_due_ms, ask->poll_ms);
-  ss_monitor_answer (node, owned);
+  ss_target_monitor_answer_requests (node, owned);
 }
 
 void
-ss_monitor_subscribe (SsNode *node, const char *from,
-                      const Ss__Peer__Subscribe *subscribe)
+ss_target_monitor_handle_subscribe (SsNode *node, const char *from,
+                                    const Ss__Peer__Subscribe *subscribe)
 {
   for (size_t i = 0; i < subscribe->n_targets; i++)
     {
-      SsOwned *owned = ss_owner_find (node, subscribe->targets[i]);
+      SsOwnedTarget *owned = ss_owner_find (node, subscribe->targets[i]);
       int64_t *expiry;
 
       if (!owned || !owned->active)
@@ -479,18 +488,19 @@
 }
 
 void
-ss_monitor_raise (SsNode *node, const char *from, const Ss__Peer__RaiseAsk *ask)
+ss_target_monitor_handle_raise_ask (SsNode *node, const char *from,
+                                    const Ss__Peer__RaiseAsk *ask)
 {
-  SsOwned *owned = ss_owner_find (node, ask->target);
+  SsOwnedTarget *owned = ss_owner_find (node, ask->target);
 
   if (!owned || !owned->active || ask->term < owned->raise_term)
     return;
   if (ask->term > owned->raise_term)
-    g_ptr_array_set_size (owned->raise_vms, 0);
+    g_ptr_array_set_size (owned->raise_requesters, 0);
   owned->raise_term = ask->term;
-  for (guint i = 0; i < owned->raise_vms->len; i++)
-    if (strcmp (g_ptr_array_index (owned->raise_vms, i), from) == 0)
+  for (guint i = 0; i < owned->raise_requesters->len; i++)
+    if (strcmp (g_ptr_array_index (owned->raise_requesters, i), from) == 0)
       return;
-  g_ptr_array_add (owned->raise_vms, g_strdup (from));
+  g_ptr_array_add (owned->raise_requesters, g_strdup (from));
   start_next_statement (node, owned);
 }
--- a/src/core/raise.c
+++ b/src/core/term_raise.c
@@ -1,5 +1,5 @@
-/* raise: raises the term of enough servers to the term of a claim, and chooses
- * the new primary among them.
+/* term_raise: raises the term of enough servers to the term of a claim, and
+ * chooses the new primary among them.
  */
 #include <string.h>
 
@@ -49,7 +49,7 @@
 static const SsPosition *
 raised_position (const SsPromotion *p, const SsTarget *target)
 {
-  return g_hash_table_lookup (p->raised, target->name);
+  return g_hash_table_lookup (p->raised_positions, target->name);
 }
 
 static const SsTarget *
@@ -68,7 +68,8 @@
       order
           = best ? ss_position_compare (*held, *raised_position (p, best)) : 1;
       if (order > 0
-          || (order == 0 && p->wanted && strcmp (p->wanted, t->name) == 0))
+          || (order == 0 && p->requested_server
+              && strcmp (p->requested_server, t->name) == 0))
         best = t;
     }
   return best;
@@ -108,7 +109,7 @@
                p->term, p->chosen, node->now_ms - p->started_ms);
   if (node->dialect->platform_promotes)
     {
-      ss_lead_begin (node, p);
+      ss_coordinator_call_platform (node, p);
       return;
     }
   ss_promote_enter (node, p, SS_PROMOTE_NAME);
@@ -122,7 +123,7 @@
 }
 
 void
-ss_raise_tick (SsNode *node, SsPromotion *p, const SsGroup *group)
+ss_term_raise_tick (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
   uint32_t raised_count = 0;
   uint32_t candidates = 0;
@@ -161,7 +162,7 @@
 }
 
 void
-ss_promote_raised (SsNode *node, const Ss__Peer__RaiseReply *reply)
+ss_term_raise_handle_reply (SsNode *node, const Ss__Peer__RaiseReply *reply)
 {
   SsTarget *t = ss_config_target (&node->config, reply->target);
   SsGroup *group = t ? ss_config_group (&node->config, t->group) : NULL;
@@ -183,6 +184,6 @@
   ss_state_unpack (reply->state, &state);
   held = g_new (SsPosition, 1);
   *held = state.held;
-  g_hash_table_replace (p->raised, g_strdup (t->name), held);
-  ss_raise_tick (node, p, group);
+  g_hash_table_replace (p->raised_positions, g_strdup (t->name), held);
+  ss_term_raise_tick (node, p, group);
 }
--- a/src/core/pace.h
+++ b/src/core/timing.h
@@ -1,16 +1,16 @@
-/* pace: the intervals and time limits of the core's polls and reports, as
+/* timing: the intervals and time limits of the core's polls and reports, as
  * settings.
  *
  * Small values detect changes early; large values save CPU time, messages and
  * the targets' capacity for statements.
  */
-#ifndef SS_PACE_H
-#define SS_PACE_H
+#ifndef SS_TIMING_H
+#define SS_TIMING_H
 
 #include <stdint.h>
 
 /* X (field, default, minimum, maximum), in milliseconds */
-#define SS_PACES(X)                                                            \
+#define SS_TIMINGS(X)                                                          \
   X (tick_asked_ms, 1, 1, 1000)      /* while a status request is open */      \
   X (tick_busy_ms, 5, 1, 1000)       /* while requests are in progress */      \
   X (tick_idle_ms, 20, 1, 1000)      /* otherwise */                           \
@@ -26,17 +26,17 @@
 typedef struct
 {
 #define X(field, fallback, lowest, highest) int64_t field;
-  SS_PACES (X)
+  SS_TIMINGS (X)
 #undef X
-} SsPace;
+} SsTiming;
 
-/* ss_pace_fill: gives every field that is 0 its default. */
+/* ss_timing_fill_defaults: gives every field that is 0 its default. */
 static inline void
-ss_pace_fill (SsPace *pace)
+ss_timing_fill_defaults (SsTiming *timing)
 {
 #define X(field, fallback, lowest, highest)                                    \
-  pace->field = pace->field ? pace->field : (fallback);
-  SS_PACES (X)
+  timing->field = timing->field ? timing->field : (fallback);
+  SS_TIMINGS (X)
 #undef X
 }
 
--- a/src/core/feeds.c
+++ b/src/core/watch.c
@@ -1,7 +1,7 @@
 #include <jansson.h>
 #include <string.h>
 
-#include "core/spread.h"
+#include "core/peers.h"
 
 #define WATCH_RETRY_MS 300
 #define WATCH_WAIT_MS 8000
@@ -19,16 +19,16 @@
 #define RELAYS 2
 
 bool
-ss_feeds_are_one (const SsNode *node)
+ss_watch_is_single (const SsNode *node)
 {
-  return (node->params.feeds & (1U << SS_FEED_ALL)) != 0;
+  return (node->params.watches & (1U << SS_WATCH_ALL)) != 0;
 }
 
 bool
-ss_feeds_are_complete (const SsNode *node)
+ss_watch_is_complete (const SsNode *node)
 {
-  for (uint32_t i = 0; i < SS_FEED_COUNT; i++)
-    if (node->params.feeds & (1U << i) && !node->feeds[i].complete)
+  for (uint32_t i = 0; i < SS_WATCH_COUNT; i++)
+    if (node->params.watches & (1U << i) && !node->watches[i].complete)
       return false;
   return true;
 }
@@ -52,9 +52,9 @@
 {
   int64_t lowest = G_MAXINT64;
 
-  for (uint32_t i = 0; i < SS_FEED_COUNT; i++)
-    if (node->params.feeds & (1U << i))
-      lowest = MIN (lowest, node->feeds[i].revision);
+  for (uint32_t i = 0; i < SS_WATCH_COUNT; i++)
+    if (node->params.watches & (1U << i))
+      lowest = MIN (lowest, node->watches[i].revision);
   return lowest;
 }
 
@@ -69,9 +69,9 @@
 
   for (uint32_t i = 0; i < e->platform_objects.object_count; i++)
     g_hash_table_add (present, (gpointer) e->platform_objects.objects[i].key);
-  dropped
-      = ss_adopt_drop_missing (node, ss_feed_prefix (e->platform_objects.feed),
-                               e->platform_objects.revision, present);
+  dropped = ss_config_sync_delete_missing (
+      node, ss_watch_prefix (e->platform_objects.feed),
+      e->platform_objects.revision, present);
   g_hash_table_destroy (present);
   return dropped;
 }
@@ -87,9 +87,9 @@
   uint32_t taken_count = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    if (ss_adopt_object (node, &e->platform_objects.objects[i]))
+    if (ss_config_sync_adopt (node, &e->platform_objects.objects[i]))
       taken[taken_count++] = e->platform_objects.objects[i];
-  ss_adopt_forward (node, taken, taken_count);
+  ss_config_sync_forward (node, taken, taken_count);
   g_free (taken);
   return taken_count > 0;
 }
@@ -110,13 +110,13 @@
     }
   if (adopted)
     ss_owner_update (node);
-  ss_lease_listed (node, e);
+  ss_lease_handle_list (node, e);
 }
 
 void
-ss_feeds_objects (SsNode *node, const SsEvent *e)
+ss_watch_handle_objects (SsNode *node, const SsEvent *e)
 {
-  SsFeedState *watch = &node->feeds[e->platform_objects.feed];
+  SsWatchState *watch = &node->watches[e->platform_objects.feed];
   int64_t since = e->platform_objects.since;
   bool adopted = false;
 
@@ -140,9 +140,9 @@
       return;
     }
   watch->due_ms = node->now_ms;
-  if (e->platform_objects.feed == SS_FEED_VMS)
+  if (e->platform_objects.feed == SS_WATCH_VMS)
     watch->due_ms += VMS_BATCH_MS;
-  if (e->platform_objects.feed == SS_FEED_TARGETS)
+  if (e->platform_objects.feed == SS_WATCH_TARGETS)
     watch->due_ms += TARGETS_BATCH_MS;
   watch->complete = watch->complete || e->platform_objects.complete;
   adopted = adopt_all (node, e);
@@ -154,8 +154,8 @@
   if (!adopted)
     return;
   ss_owner_update (node);
-  if (ss_feeds_are_one (node))
-    ss_adopt_push_domain (node, since);
+  if (ss_watch_is_single (node))
+    ss_config_sync_push_domain (node, since);
 }
 
 /* --- the platform's list of VMs --- */
@@ -181,7 +181,7 @@
   if (!vm || !domain || !ip || !state || port < 1 || port > 65535
       || ss_peers_is_self (node, vm))
     return;
-  m = ss_spread_add_member (node, vm, domain, ip, (uint16_t) port);
+  m = ss_peers_add_member (node, vm, domain, ip, (uint16_t) port);
   ss_members_set_listed (&node->members, m, strcmp (state, "live") == 0);
 }
 
@@ -189,7 +189,7 @@
  * silent ones to be forgotten.  Heartbeats determine which VMs are live.
  */
 void
-ss_feeds_vms (SsNode *node, const char *json, uint32_t json_bytes)
+ss_watch_handle_vms (SsNode *node, const char *json, uint32_t json_bytes)
 {
   json_t *list = json_loadb (json, json_bytes, 0, NULL);
   json_t *item;
@@ -209,9 +209,9 @@
 }
 
 bool
-ss_feeds_watches (SsNode *node)
+ss_watch_is_active (SsNode *node)
 {
-  if (!ss_feeds_are_one (node))
+  if (!ss_watch_is_single (node))
     return !node->members.relayed
            || (!node->ready
                && node->now_ms - node->started_ms >= OWN_WATCH_AFTER_MS)
@@ -228,13 +228,13 @@
  * take effect.
  */
 static uint32_t
-watch_wait_ms (const SsNode *node, SsFeed watch)
+watch_wait_ms (const SsNode *node, SsWatch watch)
 {
   switch (watch)
     {
-    case SS_FEED_ROUTES:
+    case SS_WATCH_ROUTES:
       return (uint32_t) node->params.apply_ms * 6 / 10;
-    case SS_FEED_TARGETS:
+    case SS_WATCH_TARGETS:
       return (uint32_t) node->params.drain_ms / 2;
     default:
       return WATCH_WAIT_MS;
@@ -242,31 +242,31 @@
 }
 
 void
-ss_feeds_tick (SsNode *node)
+ss_watch_tick (SsNode *node)
 {
-  bool is_watching = ss_feeds_watches (node);
+  bool is_watching = ss_watch_is_active (node);
   SsAction *a;
 
   /* Every VM lists all objects once, even if it does not watch afterwards. */
-  for (uint32_t i = 0; i < SS_FEED_COUNT; i++)
+  for (uint32_t i = 0; i < SS_WATCH_COUNT; i++)
     {
-      SsFeedState *watch = &node->feeds[i];
+      SsWatchState *watch = &node->watches[i];
 
-      if (!(node->params.feeds & (1U << i)) || watch->watching
+      if (!(node->params.watches & (1U << i)) || watch->watching
           || node->now_ms < watch->due_ms || (watch->complete && !is_watching))
         continue;
-      if (ss_feeds_are_one (node))
+      if (ss_watch_is_single (node))
         watch->revision = node->config.revision;
       watch->watching = true;
       a = ss_node_push (node, SS_ACTION_PLATFORM_WATCH);
       a->id = i;
       a->number = watch->revision;
-      a->wait_ms = watch_wait_ms (node, (SsFeed) i);
+      a->wait_ms = watch_wait_ms (node, (SsWatch) i);
     }
-  if (ss_feeds_are_one (node) && !node->vms_asked
+  if (ss_watch_is_single (node) && !node->vms_requested
       && node->now_ms >= node->vms_due_ms)
     {
-      node->vms_asked = true;
+      node->vms_requested = true;
       node->vms_due_ms = node->now_ms + VMS_INTERVAL_MS;
       ss_node_push (node, SS_ACTION_PLATFORM_VMS);
     }
--- a/src/kernel/plugin.c
+++ b/src/kernel/plugin.c
@@ -104,8 +104,8 @@
 fill_pace (SsNodeParams *params, const SsSettings *settings)
 {
 #define X(field, fallback, lowest, highest)                                    \
-  params->pace.field = settings->field;
-  SS_PACES (X)
+  params->timing.field = settings->field;
+  SS_TIMINGS (X)
 #undef X
 }
 
--- a/src/kernel/settings.c
+++ b/src/kernel/settings.c
@@ -36,7 +36,7 @@
 #undef X
 #define X(field, fallback, lowest, highest)                                    \
   { "pace." #field, offsetof (SsSettings, field), fallback, lowest, highest },
-      SS_PACES (X)
+      SS_TIMINGS (X)
 #undef X
 };
 
--- a/src/kernel/settings.h
+++ b/src/kernel/settings.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "core/pace.h"
+#include "core/timing.h"
 #include "kernel/log.h"
 
 /* X (field, key, default or NULL where it must be given) */
@@ -56,7 +56,7 @@
   SS_SETTINGS_INTEGERS (X)
 #undef X
 #define X(field, fallback, lowest, highest) int64_t field;
-  SS_PACES (X)
+  SS_TIMINGS (X)
 #undef X
 #define X(field, key, fallback, lowest, highest) double field;
   SS_SETTINGS_REALS (X)
--- a/src/plugins/pgserver.c
+++ b/src/plugins/pgserver.c
@@ -89,7 +89,7 @@
       const char *value = at + strlen (at) + 1;
 
       if (strcmp (at, "options") == 0)
-        ss_pgwire_options (value, add_setting, s);
+        ss_pgwire_parse_options (value, add_setting, s);
       else
         add_setting (s, at, value);
       at = value + strlen (value) + 1;
--- a/src/plugins/pgwire.c
+++ b/src/plugins/pgwire.c
@@ -174,10 +174,10 @@
 }
 
 void
-ss_pgwire_options (const char *options,
-                   void (*found) (void *data, const char *name,
-                                  const char *value),
-                   void *data)
+ss_pgwire_parse_options (const char *options,
+                         void (*found) (void *data, const char *name,
+                                        const char *value),
+                         void *data)
 {
   char **words = g_strsplit (options, " ", -1);
 
--- a/src/plugins/pgwire.h
+++ b/src/plugins/pgwire.h
@@ -65,13 +65,14 @@
 const char *ss_pgwire_startup_value (const SsPgwireMessage *message,
                                      const char *name);
 
-/* ss_pgwire_options: calls FOUND for each "-c name=value", "-cname=value" or
+/* ss_pgwire_parse_options: calls FOUND for each "-c name=value", "-cname=value"
+ * or
  * "--name=value" in OPTIONS.
  */
-void ss_pgwire_options (const char *options,
-                        void (*found) (void *data, const char *name,
-                                       const char *value),
-                        void *data);
+void ss_pgwire_parse_options (const char *options,
+                              void (*found) (void *data, const char *name,
+                                             const char *value),
+                              void *data);
 
 /* The following append one message to OUT. */
 void ss_pgwire_auth_ok (GByteArray *out);
--- a/tests/line_world.c
+++ b/tests/line_world.c
@@ -76,14 +76,14 @@
 /* --- the platform --- */
 
 static void
-fill_objects (LineWorld *w, Due *d, SsFeed feed, bool all)
+fill_objects (LineWorld *w, Due *d, SsWatch feed, bool all)
 {
   GPtrArray *found = g_ptr_array_new ();
   uint32_t count = 0;
 
   for (GTreeNode *n = g_tree_node_first (w->objects); n;
        n = g_tree_node_next (n))
-    if (g_str_has_prefix (g_tree_node_key (n), ss_feed_prefix (feed)))
+    if (g_str_has_prefix (g_tree_node_key (n), ss_watch_prefix (feed)))
       g_ptr_array_add (found, n);
   d->objects = g_new0 (SsObject, found->len + 1);
   d->texts = g_string_chunk_new (1024);
@@ -167,11 +167,11 @@
       if (a->number)
         return; /* changes are told by line_world_put */
       d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECTS);
-      fill_objects (w, d, (SsFeed) a->id, true);
+      fill_objects (w, d, (SsWatch) a->id, true);
       break;
     case SS_ACTION_PLATFORM_LIST:
       d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECTS);
-      fill_objects (w, d, (SsFeed) a->id, true);
+      fill_objects (w, d, (SsWatch) a->id, true);
       d->event.platform_objects.listed = true;
       break;
     case SS_ACTION_PLATFORM_PUT:
@@ -196,9 +196,9 @@
   o.value = value;
   o.value_bytes = (uint32_t) strlen (value);
   o.version = w->version;
-  for (uint32_t i = 0; i < SS_FEED_COUNT; i++)
-    if (i != SS_FEED_ALL && g_str_has_prefix (key, ss_feed_prefix (i)))
-      e.platform_objects.feed = (SsFeed) i;
+  for (uint32_t i = 0; i < SS_WATCH_COUNT; i++)
+    if (i != SS_WATCH_ALL && g_str_has_prefix (key, ss_watch_prefix (i)))
+      e.platform_objects.feed = (SsWatch) i;
   e.platform_objects.outcome = SS_PLATFORM_DONE;
   e.platform_objects.objects = &o;
   e.platform_objects.object_count = 1;
@@ -459,7 +459,7 @@
   if (!g_str_has_prefix (text, "WAITFOR "))
     return text;
   parts = g_strsplit (text, " ", 3);
-  floor = ss_line_position (parts[1]);
+  floor = ss_line_parse_position (parts[1]);
   g_strfreev (parts);
   if (s->applied.offset < floor.offset)
     return NULL;
@@ -868,17 +868,17 @@
                           .stop_bound_ms = 1000,
                           .apply_ms = 3000,
                           .drain_ms = 7000,
-                          .owners_anywhere = true,
+                          .cross_domain_owners = true,
                           .dialect = ss_dialect_line () };
 
-  params.feeds = 1U << SS_FEED_ROUTES | 1U << SS_FEED_TARGETS
-                 | 1U << SS_FEED_GROUPS | 1U << SS_FEED_VMS;
-  params.pace.tick_asked_ms = 5;
-  params.pace.poll_idle_ms = 4000;
-  params.pace.poll_lagging_ms = 4000;
-  params.pace.poll_asked_ms = 10;
-  params.pace.silence_ms = 450;
-  params.pace.unreachable_ms = 900;
+  params.watches = 1U << SS_WATCH_ROUTES | 1U << SS_WATCH_TARGETS
+                   | 1U << SS_WATCH_GROUPS | 1U << SS_WATCH_VMS;
+  params.timing.tick_asked_ms = 5;
+  params.timing.poll_idle_ms = 4000;
+  params.timing.poll_lagging_ms = 4000;
+  params.timing.poll_asked_ms = 10;
+  params.timing.silence_ms = 450;
+  params.timing.unreachable_ms = 900;
   ss_node_init (&w->node, &params, w->now_ms);
 }
 
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -25,8 +25,8 @@
 
   ss_config_init (&c);
   CU_ASSERT (adopt (&c, "target/t", 5, TARGET_JSON) == SS_ADOPT_DONE);
-  CU_ASSERT (adopt (&c, "target/t", 5, TARGET_JSON) == SS_ADOPT_OLD);
-  CU_ASSERT (adopt (&c, "target/t", 4, TARGET_JSON) == SS_ADOPT_OLD);
+  CU_ASSERT (adopt (&c, "target/t", 5, TARGET_JSON) == SS_ADOPT_NOT_NEWER);
+  CU_ASSERT (adopt (&c, "target/t", 4, TARGET_JSON) == SS_ADOPT_NOT_NEWER);
   CU_ASSERT (adopt (&c, "target/t", 6, TARGET_JSON) == SS_ADOPT_DONE);
   CU_ASSERT (ss_config_target (&c, "t")->version == 6);
   ss_config_finish (&c);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -141,15 +141,16 @@
 {
   SsPrediction p = { 0 };
 
-  CU_ASSERT (
-      ss_prediction_end_ms (&p, 1000)
-      == 1000 + SS_PREDICT_CHANGE_START_MS * SS_PREDICT_MARGIN_PERCENT / 100);
-  ss_prediction_learn (&p, 400);
-  CU_ASSERT (ss_prediction_end_ms (&p, 0) == 520);
-  ss_prediction_learn (&p, 200);
-  CU_ASSERT (ss_prediction_end_ms (&p, 0) == 390);
-  ss_prediction_learn (&p, 1000);
-  CU_ASSERT (ss_prediction_end_ms (&p, 0) == 1300);
+  CU_ASSERT (ss_predict_end_ms (&p, 1000)
+             == 1000
+                    + SS_PREDICT_INITIAL_FAILOVER_MS * SS_PREDICT_MARGIN_PERCENT
+                          / 100);
+  ss_predict_learn (&p, 400);
+  CU_ASSERT (ss_predict_end_ms (&p, 0) == 520);
+  ss_predict_learn (&p, 200);
+  CU_ASSERT (ss_predict_end_ms (&p, 0) == 390);
+  ss_predict_learn (&p, 1000);
+  CU_ASSERT (ss_predict_end_ms (&p, 0) == 1300);
 }
 
 static void
--- a/tests/test_members.c
+++ b/tests/test_members.c
@@ -27,7 +27,7 @@
   SsMember *m = ss_members_add (&members, vm, "d1", "10.0.0.9", 1);
   char *list[] = { (char *) heard };
 
-  ss_members_heard (&members, m, false, list, heard ? 1 : 0, now_ms);
+  ss_members_record_heartbeat (&members, m, false, list, heard ? 1 : 0, now_ms);
 }
 
 static void
@@ -49,7 +49,7 @@
   ss_members_add (&members, "b", "d1", "10.0.0.2", 1)->listed = true;
   update (START_MS);
   CU_ASSERT (!is_live ("b"));
-  CU_ASSERT (!ss_members_is_settled (&members));
+  CU_ASSERT (!ss_members_is_converged (&members));
   CU_ASSERT_STRING_EQUAL (ss_members_owner (&members, "d1", "t"), "a");
   beat ("b", START_MS + 10, NULL);
   update (START_MS + 10);
@@ -60,7 +60,7 @@
 static void
 is_dead_only_where_others_miss_it_too (void)
 {
-  int64_t later_ms = START_MS + SS_MEMBER_SILENCE_MS + 100;
+  int64_t later_ms = START_MS + SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 100;
 
   begin ();
   beat ("b", START_MS, NULL);
@@ -108,8 +108,8 @@
   begin ();
   beat ("b", START_MS, NULL);
   update (START_MS);
-  ss_members_heard (&members, ss_members_find (&members, "b"), true, NULL, 0,
-                    START_MS);
+  ss_members_record_heartbeat (&members, ss_members_find (&members, "b"), true,
+                               NULL, 0, START_MS);
   for (uint32_t i = 0; i < 50; i++)
     {
       char name[16];
@@ -126,8 +126,8 @@
   begin ();
   beat ("b", START_MS, NULL);
   update (START_MS);
-  update (START_MS + SS_MEMBER_SILENCE_MS);
-  update (START_MS + SS_MEMBER_FORGET_MS + 1);
+  update (START_MS + SS_MEMBER_HEARTBEAT_TIMEOUT_MS);
+  update (START_MS + SS_MEMBER_RETENTION_MS + 1);
   CU_ASSERT_PTR_NULL (ss_members_find (&members, "b"));
   ss_members_finish (&members);
 }
@@ -159,10 +159,10 @@
   begin ();
   members.relayed = true;
   b = ss_members_add (&members, "b", "d2", "10.0.0.2", 1);
-  ss_members_reported (&members, b, false, true, START_MS);
-  update (START_MS + SS_MEMBER_REPORTED_MS - 1);
+  ss_members_record_report (&members, b, false, true, START_MS);
+  update (START_MS + SS_MEMBER_REPORT_TIMEOUT_MS - 1);
   CU_ASSERT (is_live ("b"));
-  update (START_MS + SS_MEMBER_REPORTED_MS);
+  update (START_MS + SS_MEMBER_REPORT_TIMEOUT_MS);
   CU_ASSERT (!is_live ("b"));
   ss_members_finish (&members);
 }
--- a/tests/test_pgwire.c
+++ b/tests/test_pgwire.c
@@ -106,7 +106,7 @@
 {
   GString *found = g_string_new (NULL);
 
-  ss_pgwire_options ("-c a.b=1 -cc=2 --d=3 junk -c", found_option, found);
+  ss_pgwire_parse_options ("-c a.b=1 -cc=2 --d=3 junk -c", found_option, found);
   CU_ASSERT_STRING_EQUAL (found->str, "a.b=1;c=2;d=3;");
   g_string_free (found, TRUE);
 }
