--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -26,14 +26,14 @@
   CU_ASSERT (read_text (&line, "QUERY a1 READ 1a", buffer) == SS_LINE_PARTIAL);
   CU_ASSERT (read_text (&line, "QUERY a1  READ 1a\r\nx", buffer)
              == SS_LINE_WHOLE);
-  CU_ASSERT (line.word == SS_LINE_QUERY && line.used_bytes == 19);
-  CU_ASSERT_STRING_EQUAL (ss_line_take (&line.rest), "a1");
+  CU_ASSERT (line.type == SS_LINE_QUERY && line.used_bytes == 19);
+  CU_ASSERT_STRING_EQUAL (ss_line_next_field (&line.rest), "a1");
   /* What follows is passed on as it is, blanks too. */
   CU_ASSERT_STRING_EQUAL (line.rest, " READ 1a");
   CU_ASSERT (read_text (&line, "\r\n", buffer) == SS_LINE_WHOLE);
-  CU_ASSERT (line.word == SS_LINE_UNKNOWN);
+  CU_ASSERT (line.type == SS_LINE_UNKNOWN);
   CU_ASSERT (read_text (&line, "query a1 READ\r\n", buffer) == SS_LINE_WHOLE);
-  CU_ASSERT (line.word == SS_LINE_UNKNOWN);
+  CU_ASSERT (line.type == SS_LINE_UNKNOWN);
 }
 
 /* A zero byte would hide what follows it from us, but not from a target. */
@@ -45,19 +45,19 @@
 
   buffer[16] = 0;
   CU_ASSERT (ss_line_read (&line, buffer, sizeof buffer - 1) == SS_LINE_WHOLE);
-  CU_ASSERT (line.word == SS_LINE_UNKNOWN);
+  CU_ASSERT (line.type == SS_LINE_UNKNOWN);
 }
 
 static void
 positions_are_read (void)
 {
-  SsPosition p = ss_line_position ("3.1207");
+  SsPosition p = ss_line_parse_position ("3.1207");
 
   CU_ASSERT (p.term == 3 && p.offset == 1207);
-  CU_ASSERT (ss_line_position ("-").offset == 0);
-  CU_ASSERT (ss_line_position ("3.").offset == 0);
-  CU_ASSERT (ss_line_position ("3.12x").offset == 0);
-  CU_ASSERT (ss_line_position ("3.-1").offset == 0);
+  CU_ASSERT (ss_line_parse_position ("-").offset == 0);
+  CU_ASSERT (ss_line_parse_position ("3.").offset == 0);
+  CU_ASSERT (ss_line_parse_position ("3.12x").offset == 0);
+  CU_ASSERT (ss_line_parse_position ("3.-1").offset == 0);
 }
 
 typedef struct
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -1,4 +1,4 @@
-#include "core/budget.h"
+#include "core/retry_budget.h"
 #include "core/queue.h"
 #include "tests/unit.h"
 
@@ -71,7 +71,7 @@
   uint32_t retry_after_ms = 0;
 
   ss_queue_init (&q);
-  q.service_ms = 20;
+  q.mean_run_ms = 20;
   CU_ASSERT (ss_queue_admit (&q, &late, 2, 0, 0.5, &retry_after_ms));
   for (uint32_t i = 0; i < ITEMS; i++)
     {
@@ -81,7 +81,7 @@
   CU_ASSERT (!ss_queue_admit (&q, &late, 2, 0, 0.5, &retry_after_ms));
   CU_ASSERT (retry_after_ms > 100);
   CU_ASSERT (ss_queue_admit (&q, &early, 2, 0, 0.5, &retry_after_ms));
-  q.service_ms = 100;
+  q.mean_run_ms = 100;
   CU_ASSERT (!ss_queue_admit (&q, &early, 2, 0, 0.5, &retry_after_ms));
   ss_queue_finish (&q);
 }
@@ -107,16 +107,16 @@
 static void
 retries_are_a_share_of_first_tries (void)
 {
-  SsBudget b;
+  SsRetryBudget b;
   uint32_t retries = 0;
 
-  ss_budget_init (&b);
-  while (ss_budget_take_retry (&b))
+  ss_retry_budget_init (&b);
+  while (ss_retry_budget_withdraw (&b))
     retries++;
-  CU_ASSERT (retries == SS_BUDGET_MAX / SS_BUDGET_PER_RETRY);
+  CU_ASSERT (retries == SS_RETRY_BUDGET_MAX / SS_RETRY_BUDGET_PER_RETRY);
   for (uint32_t i = 0; i < 100; i++)
-    ss_budget_first_try (&b);
-  for (retries = 0; ss_budget_take_retry (&b);)
+    ss_retry_budget_deposit (&b);
+  for (retries = 0; ss_retry_budget_withdraw (&b);)
     retries++;
   CU_ASSERT (retries == 10);
 }
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -58,7 +58,7 @@
 
   g_snprintf (vms[i].name, sizeof vms[i].name, "vm%02u", i);
   params.vm = vms[i].name;
-  params.feeds = 1U << SS_FEED_VMS;
+  params.watches = 1U << SS_WATCH_VMS;
   ss_node_init (&vms[i].node, &params, now_ms);
   vms[i].up = true;
   vms[i].cut = false;
@@ -85,7 +85,7 @@
       objects[j].value_bytes = (uint32_t) strlen (values[j]);
       objects[j].version = 5;
     }
-  e.platform_objects.feed = SS_FEED_VMS;
+  e.platform_objects.feed = SS_WATCH_VMS;
   e.platform_objects.outcome = SS_PLATFORM_DONE;
   e.platform_objects.complete = true;
   e.platform_objects.objects = objects;
@@ -219,7 +219,7 @@
   sent = 0;
   sent_apart = 0;
   advance (10000);
-  beats = 10000 / vms[0].node.params.pace.heartbeat_ms + 1;
+  beats = 10000 / vms[0].node.params.timing.heartbeat_ms + 1;
   CU_ASSERT (sent_apart <= beats * 2 * SS_MEMBERS_RELAYS * SS_MEMBERS_RELAYS);
   /* A heartbeat and a digest for each vm and relay, and the reports. */
   CU_ASSERT (sent - sent_apart <= beats * 2 * VMS * SS_MEMBERS_RELAYS);
@@ -276,7 +276,7 @@
             continue;
           if (count_own_live (&vms[i]) < VMS / 2 - SS_MEMBERS_RELAYS)
             missed++;
-          if (ss_lead_is_coordinator (&vms[i].node)
+          if (ss_coordinator_is_self (&vms[i].node)
               && count_live (&vms[i]) < VMS - SS_MEMBERS_RELAYS)
             coordinators++;
         }
@@ -361,8 +361,8 @@
   /* The old relays' silence, then a beat each: to the new relays, of these to
    * the other failure domain, back from there, and to all.
    */
-  bound_ms
-      = SS_MEMBER_REPORTED_MS + 4 * vms[0].node.params.pace.heartbeat_ms + 100;
+  bound_ms = SS_MEMBER_REPORT_TIMEOUT_MS
+             + 4 * vms[0].node.params.timing.heartbeat_ms + 100;
   while (now_ms - since_ms < bound_ms)
     advance (STEP_MS);
   expect_live (VMS - SS_MEMBERS_RELAYS);
@@ -380,7 +380,7 @@
   uint32_t silent = 0;
 
   begin ();
-  beat_ms = vms[0].node.params.pace.heartbeat_ms;
+  beat_ms = vms[0].node.params.timing.heartbeat_ms;
   ss_members_relays (&vms[0].node.members, "d1", now_ms, relays);
   while (g_ptr_array_find_with_equal_func (relays, vms[silent].name,
                                            g_str_equal, NULL))
@@ -390,7 +390,7 @@
   /* The silence, then a beat each: to the neighbours, to the relays of the
    * other failure domain, and to the vms there.
    */
-  advance (SS_MEMBER_SILENCE_MS + 3 * beat_ms + 100);
+  advance (SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 3 * beat_ms + 100);
   expect_live (VMS - 1);
   end ();
 }
