--- a/standin/link.c
+++ b/standin/link.c
@@ -3,25 +3,26 @@
 #include <string.h>
 
 #define RETRY_MS 50
-#define SILENCE_MS 600
+#define RESPONSE_TIMEOUT_MS 600
+/* The primary responds after this time if it has no new entries. */
 #define LOG_WAIT_MS 100
 #define LOG_BATCH 500
 
 static void
-close_link (SsLink *l)
+disconnect (SsLogReceiver *receiver)
 {
-  if (!l->pq)
+  if (!receiver->pq)
     return;
-  ev_io_stop (l->loop, &l->io);
-  PQfinish (l->pq);
-  l->pq = NULL;
-  l->due_ms = ss_server_now_ms (l->server) + RETRY_MS;
+  ev_io_stop (receiver->loop, &receiver->io);
+  PQfinish (receiver->pq);
+  receiver->pq = NULL;
+  receiver->due_ms = ss_server_now_ms (receiver->server) + RETRY_MS;
 }
 
 static void
-send_request (SsLink *l)
+send_request (SsLogReceiver *receiver)
 {
-  const SsServer *s = l->server;
+  const SsServer *s = receiver->server;
   char sql[256];
 
   g_snprintf (sql, sizeof sql,
@@ -30,15 +31,17 @@
               s->follow_term, s->first_wanted,
               ss_store_term_at (&s->store, s->first_wanted), LOG_BATCH,
               LOG_WAIT_MS);
-  if (PQsendQuery (l->pq, sql))
-    PQflush (l->pq);
+  if (PQsendQuery (receiver->pq, sql))
+    PQflush (receiver->pq);
   else
-    close_link (l);
+    disconnect (receiver);
 }
 
-/* The first row says what the primary found; log entries follow. */
+/* The first row holds the outcome: "ok", "mismatch" or "refused".  The other
+ * rows hold log entries.
+ */
 static void
-take_result (SsLink *l, const PGresult *r)
+handle_result (SsLogReceiver *receiver, const PGresult *r)
 {
   int rows = PQntuples (r);
   uint64_t *terms;
@@ -53,123 +56,127 @@
       terms[i - 1] = g_ascii_strtoull (PQgetvalue (r, i, 0), NULL, 10);
       payloads[i - 1] = PQgetvalue (r, i, 1);
     }
-  ss_server_take_log (l->server, PQgetvalue (r, 0, 0), terms, payloads,
+  ss_server_take_log (receiver->server, PQgetvalue (r, 0, 0), terms, payloads,
                       (uint32_t) rows - 1);
   g_free (terms);
   g_free (payloads);
 }
 
 static void
-poll_start (SsLink *l)
+continue_connecting (SsLogReceiver *receiver)
 {
-  PostgresPollingStatusType poll = PQconnectPoll (l->pq);
+  PostgresPollingStatusType poll = PQconnectPoll (receiver->pq);
 
   if (poll == PGRES_POLLING_FAILED)
     {
-      close_link (l);
+      disconnect (receiver);
       return;
     }
-  ev_io_stop (l->loop, &l->io);
-  ev_io_set (&l->io, PQsocket (l->pq),
+  ev_io_stop (receiver->loop, &receiver->io);
+  ev_io_set (&receiver->io, PQsocket (receiver->pq),
              poll == PGRES_POLLING_WRITING ? EV_WRITE : EV_READ);
-  ev_io_start (l->loop, &l->io);
+  ev_io_start (receiver->loop, &receiver->io);
   if (poll == PGRES_POLLING_OK)
-    send_request (l);
+    send_request (receiver);
 }
 
-/* What arrives on a link that is out of date is not taken. */
+/* Returns false if the server has since received a later term or another
+ * primary, or is partitioned.  Data on the connection is then discarded.
+ */
 static bool
-is_current (const SsLink *l)
+is_current (const SsLogReceiver *receiver)
 {
-  return l->generation == l->server->link_generation
-         && ss_server_wants_log (l->server);
+  return receiver->generation == receiver->server->replication_generation
+         && ss_server_wants_log (receiver->server);
 }
 
 static void
 on_io (struct ev_loop *loop, ev_io *w, int events)
 {
-  SsLink *l = w->data;
+  SsLogReceiver *receiver = w->data;
 
   (void) loop;
   (void) events;
-  if (!is_current (l))
+  if (!is_current (receiver))
     {
-      close_link (l);
+      disconnect (receiver);
       return;
     }
-  if (PQstatus (l->pq) != CONNECTION_OK)
+  if (PQstatus (receiver->pq) != CONNECTION_OK)
     {
-      poll_start (l);
+      continue_connecting (receiver);
       return;
     }
-  if (!PQconsumeInput (l->pq))
+  if (!PQconsumeInput (receiver->pq))
     {
-      close_link (l);
+      disconnect (receiver);
       return;
     }
-  while (!PQisBusy (l->pq))
+  while (!PQisBusy (receiver->pq))
     {
-      PGresult *r = PQgetResult (l->pq);
+      PGresult *r = PQgetResult (receiver->pq);
 
       if (!r)
         {
-          send_request (l);
+          send_request (receiver);
           return;
         }
-      take_result (l, r);
+      handle_result (receiver, r);
       PQclear (r);
     }
 }
 
 static void
-open_link (SsLink *l)
+connect_to_primary (SsLogReceiver *receiver)
 {
-  char **address = g_strsplit (l->server->upstream, " ", 2);
+  char **address = g_strsplit (receiver->server->upstream, " ", 2);
   char *conninfo = g_strdup_printf (
       "hostaddr=%s port=%s user=replication dbname=log sslmode=disable "
       "gssencmode=disable",
       address[0], address[1]);
 
-  l->pq = PQconnectStart (conninfo);
-  l->generation = l->server->link_generation;
-  l->due_ms = ss_server_now_ms (l->server) + SILENCE_MS;
-  if (PQstatus (l->pq) == CONNECTION_BAD)
+  receiver->pq = PQconnectStart (conninfo);
+  receiver->generation = receiver->server->replication_generation;
+  receiver->due_ms = ss_server_now_ms (receiver->server) + RESPONSE_TIMEOUT_MS;
+  if (PQstatus (receiver->pq) == CONNECTION_BAD)
     {
-      PQfinish (l->pq);
-      l->pq = NULL;
+      PQfinish (receiver->pq);
+      receiver->pq = NULL;
     }
   else
     {
-      PQsetnonblocking (l->pq, 1);
-      ev_io_init (&l->io, on_io, PQsocket (l->pq), EV_WRITE);
-      l->io.data = l;
-      ev_io_start (l->loop, &l->io);
+      PQsetnonblocking (receiver->pq, 1);
+      ev_io_init (&receiver->io, on_io, PQsocket (receiver->pq), EV_WRITE);
+      receiver->io.data = receiver;
+      ev_io_start (receiver->loop, &receiver->io);
     }
   g_free (conninfo);
   g_strfreev (address);
 }
 
 void
-ss_link_init (SsLink *link, struct ev_loop *loop, SsServer *server)
+ss_log_receiver_init (SsLogReceiver *receiver, struct ev_loop *loop,
+                      SsServer *server)
 {
-  memset (link, 0, sizeof *link);
-  link->loop = loop;
-  link->server = server;
+  memset (receiver, 0, sizeof *receiver);
+  receiver->loop = loop;
+  receiver->server = server;
 }
 
 void
-ss_link_tick (SsLink *link)
+ss_log_receiver_tick (SsLogReceiver *receiver)
 {
-  int64_t now_ms = ss_server_now_ms (link->server);
+  int64_t now_ms = ss_server_now_ms (receiver->server);
 
-  if (link->pq && !is_current (link))
+  if (receiver->pq && !is_current (receiver))
     {
-      close_link (link);
-      link->due_ms = now_ms;
+      disconnect (receiver);
+      receiver->due_ms = now_ms;
     }
-  if (link->pq && now_ms > link->due_ms
-      && now_ms - link->server->heard_ms > SILENCE_MS)
-    close_link (link);
-  if (!link->pq && ss_server_wants_log (link->server) && now_ms >= link->due_ms)
-    open_link (link);
+  if (receiver->pq && now_ms > receiver->due_ms
+      && now_ms - receiver->server->heard_ms > RESPONSE_TIMEOUT_MS)
+    disconnect (receiver);
+  if (!receiver->pq && ss_server_wants_log (receiver->server)
+      && now_ms >= receiver->due_ms)
+    connect_to_primary (receiver);
 }
--- a/standin/link.h
+++ b/standin/link.h
@@ -1,6 +1,10 @@
-/* link: how a stand-in replica asks its primary for the log, by libpq. */
-#ifndef SS_STANDIN_LINK_H
-#define SS_STANDIN_LINK_H
+/* log_receiver: replicates the primary's log to a stand-in replica, by libpq.
+ *
+ * The replica requests entries with SELECT sapphirestair_log(...).  The primary
+ * responds when it has new entries or the wait in the request expires.
+ */
+#ifndef SS_STANDIN_LOG_RECEIVER_H
+#define SS_STANDIN_LOG_RECEIVER_H
 
 #include <ev.h>
 #include <libpq-fe.h>
@@ -11,14 +15,21 @@
 {
   SsServer *server;
   struct ev_loop *loop;
-  PGconn *pq; /* NULL: not open */
+  PGconn *pq; /* NULL: not connected */
   ev_io io;
-  uint64_t generation; /* of the server's link that this one serves */
-  int64_t due_ms;      /* no new try before */
-} SsLink;
+  /* The server's replication_generation when the connection was opened. */
+  uint64_t generation;
+  /* Earliest time of the next connection attempt.  While connected: the
+   * response timeout does not apply before it.
+   */
+  int64_t due_ms;
+} SsLogReceiver;
 
-void ss_link_init (SsLink *link, struct ev_loop *loop, SsServer *server);
-/* ss_link_tick: opens and closes the link as the server's role asks. */
-void ss_link_tick (SsLink *link);
+void ss_log_receiver_init (SsLogReceiver *receiver, struct ev_loop *loop,
+                           SsServer *server);
+/* ss_log_receiver_tick: connects to the primary that the server follows, and
+ * disconnects when the server no longer follows it or responses time out.
+ */
+void ss_log_receiver_tick (SsLogReceiver *receiver);
 
 #endif
--- a/standin/network.c
+++ b/standin/network.c
@@ -1,10 +1,15 @@
-/* ss-standin-network: the network between the vms.
+/* ss-standin-network: simulates the network between the VMs.
  *
- * It relays TCP connections.  POST /cut names the addresses ("cut_ips") that
- * are cut off from all others.  A cut connection stays open and silent, as in
- * a network partition.  POST /link sets the faults of one address ("ip"):
- * "delay_ms", "silent_in" and "silent_out", which hold what comes to it or from
- * it; "reset": true closes its connections once.
+ * Relays TCP connections and injects faults.
+ *
+ * POST /cut sets a network partition: it separates the addresses in "cut_ips"
+ * from all others.  Connections across the partition stay open, but no data
+ * passes until the partition heals.
+ *
+ * POST /link sets the faults of the address "ip".  "delay_ms" delays data in
+ * both directions, in milliseconds.  "silent_in" and "silent_out" withhold the
+ * data to the address and from it.  "reset": true closes its open connections
+ * once.
  */
 #include <ev.h>
 #include <jansson.h>
@@ -15,32 +20,32 @@
 #include "kernel/httpd.h"
 #include "kernel/stream.h"
 
-typedef struct Pair Pair;
+typedef struct Connection Connection;
 
 typedef struct
 {
-  SsStream stream; /* first: callbacks cast back */
-  Pair *pair;
+  SsStream stream; /* must be first: callbacks cast it to Endpoint */
+  Connection *connection;
   bool open;
-  GByteArray *held; /* what it sent and waits for its delay; NULL: nothing */
+  GByteArray *delayed; /* received data that waits for the delay; NULL: none */
   ev_timer delay;
-} End;
+} Endpoint;
 
-/* The faults of one address. */
+/* The faults that POST /link has set for one address. */
 typedef struct
 {
   uint32_t delay_ms;
   bool silent_in;
   bool silent_out;
-} Fault;
+} LinkFaults;
 
-struct Pair
+struct Connection
 {
-  End near;
-  End far;
-  char from[INET_ADDRSTRLEN];
-  char to[INET_ADDRSTRLEN];
-  bool is_cut;
+  Endpoint client;
+  Endpoint server;
+  char client_ip[INET_ADDRSTRLEN];
+  char server_ip[INET_ADDRSTRLEN];
+  bool is_partitioned;
 };
 
 typedef struct
@@ -52,108 +57,116 @@
 
 static struct
 {
-  SsHttpd httpd; /* first: handlers cast back */
+  SsHttpd httpd;
   struct ev_loop *loop;
-  GHashTable *cut;
-  GHashTable *faults; /* address -> Fault */
-  GHashTable *pairs;
+  GHashTable *partitioned_ips;
+  GHashTable *faults; /* address -> LinkFaults */
+  GHashTable *connections;
 } net;
 
 static void
-end_init (End *e, Pair *p)
+endpoint_init (Endpoint *e, Connection *c)
 {
-  e->pair = p;
+  e->connection = c;
   e->delay.data = e;
 }
 
 static void
-end_finish (End *e)
+endpoint_finish (Endpoint *e)
 {
   ev_timer_stop (net.loop, &e->delay);
-  if (e->held)
-    g_byte_array_unref (e->held);
+  if (e->delayed)
+    g_byte_array_unref (e->delayed);
   if (e->open)
     ss_stream_finish (&e->stream);
 }
 
 static void
-drop_pair (Pair *p)
+close_connection (Connection *c)
 {
-  g_hash_table_remove (net.pairs, p);
-  end_finish (&p->near);
-  end_finish (&p->far);
-  g_free (p);
+  g_hash_table_remove (net.connections, c);
+  endpoint_finish (&c->client);
+  endpoint_finish (&c->server);
+  g_free (c);
 }
 
-static End *
-other_end (End *e)
+static Endpoint *
+other_endpoint (Endpoint *e)
 {
-  return e == &e->pair->near ? &e->pair->far : &e->pair->near;
+  return e == &e->connection->client ? &e->connection->server
+                                     : &e->connection->client;
 }
 
 static const char *
-address_of (const End *e)
+endpoint_ip (const Endpoint *e)
 {
-  return e == &e->pair->near ? e->pair->from : e->pair->to;
+  return e == &e->connection->client ? e->connection->client_ip
+                                     : e->connection->server_ip;
 }
 
+/* Returns whether data from FROM is withheld. */
 static bool
-is_blocked (End *from)
+is_blocked (Endpoint *from)
 {
-  const Fault *out = g_hash_table_lookup (net.faults, address_of (from));
-  const Fault *in
-      = g_hash_table_lookup (net.faults, address_of (other_end (from)));
+  const LinkFaults *out = g_hash_table_lookup (net.faults, endpoint_ip (from));
+  const LinkFaults *in
+      = g_hash_table_lookup (net.faults, endpoint_ip (other_endpoint (from)));
 
-  return from->pair->is_cut || (out && out->silent_out)
+  return from->connection->is_partitioned || (out && out->silent_out)
          || (in && in->silent_in);
 }
 
+/* Returns the longer of the delays of both addresses. */
 static uint32_t
-delay_of (End *from)
+link_delay_ms (Endpoint *from)
 {
-  const Fault *a = g_hash_table_lookup (net.faults, from->pair->from);
-  const Fault *b = g_hash_table_lookup (net.faults, from->pair->to);
+  const LinkFaults *a
+      = g_hash_table_lookup (net.faults, from->connection->client_ip);
+  const LinkFaults *b
+      = g_hash_table_lookup (net.faults, from->connection->server_ip);
 
   return MAX (a ? a->delay_ms : 0, b ? b->delay_ms : 0);
 }
 
 static void
-deliver_held (struct ev_loop *loop, ev_timer *timer, int events)
+deliver_delayed (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  End *from = timer->data;
-  End *to = other_end (from);
+  Endpoint *from = timer->data;
+  Endpoint *to = other_endpoint (from);
 
   (void) loop;
   (void) events;
-  if (!from->held || is_blocked (from))
+  if (!from->delayed || is_blocked (from))
     return;
-  g_byte_array_append (ss_stream_output (&to->stream), from->held->data,
-                       from->held->len);
-  g_clear_pointer (&from->held, g_byte_array_unref);
+  g_byte_array_append (ss_stream_output (&to->stream), from->delayed->data,
+                       from->delayed->len);
+  g_clear_pointer (&from->delayed, g_byte_array_unref);
   ss_stream_flush (&to->stream);
 }
 
-/* What arrives during a delay goes with what waits already, in order. */
+/* Delivers the data received from FROM, after its delay.  Data that arrives
+ * during a delay joins the data already delayed, in order.
+ */
 static void
-forward (End *from)
+forward (Endpoint *from)
 {
   GByteArray *input = from->stream.input;
-  uint32_t delay_ms = delay_of (from);
+  uint32_t delay_ms = link_delay_ms (from);
 
   if (is_blocked (from))
     return;
   if (input && input->len)
     {
-      if (!from->held)
-        from->held = g_byte_array_new ();
-      g_byte_array_append (from->held, input->data, input->len);
+      if (!from->delayed)
+        from->delayed = g_byte_array_new ();
+      g_byte_array_append (from->delayed, input->data, input->len);
       ss_stream_consume (&from->stream, UINT32_MAX);
     }
-  if (!from->held || ev_is_active (&from->delay))
+  if (!from->delayed || ev_is_active (&from->delay))
     return;
   if (!delay_ms)
     {
-      deliver_held (net.loop, &from->delay, 0);
+      deliver_delayed (net.loop, &from->delay, 0);
       return;
     }
   ev_timer_set (&from->delay, delay_ms / 1000.0, 0);
@@ -163,31 +176,31 @@
 static void
 on_input (SsStream *stream)
 {
-  forward ((End *) stream);
+  forward ((Endpoint *) stream);
 }
 
 static void
 on_closed (SsStream *stream)
 {
-  drop_pair (((End *) stream)->pair);
+  close_connection (((Endpoint *) stream)->connection);
 }
 
 static bool
-crosses_cut (const char *a, const char *b)
+crosses_partition (const char *a, const char *b)
 {
-  return g_hash_table_contains (net.cut, a)
-         != g_hash_table_contains (net.cut, b);
+  return g_hash_table_contains (net.partitioned_ips, a)
+         != g_hash_table_contains (net.partitioned_ips, b);
 }
 
-/* Applies what is in force now to P. */
+/* Applies the current partition and link faults to C. */
 static void
-refresh (Pair *p)
+apply_faults (Connection *c)
 {
-  p->is_cut = crosses_cut (p->from, p->to);
-  ss_stream_pause_reading (&p->near.stream, is_blocked (&p->near));
-  ss_stream_pause_reading (&p->far.stream, is_blocked (&p->far));
-  forward (&p->near);
-  forward (&p->far);
+  c->is_partitioned = crosses_partition (c->client_ip, c->server_ip);
+  ss_stream_pause_reading (&c->client.stream, is_blocked (&c->client));
+  ss_stream_pause_reading (&c->server.stream, is_blocked (&c->server));
+  forward (&c->client);
+  forward (&c->server);
 }
 
 static void
@@ -195,79 +208,79 @@
 {
   static const SsStreamClass klass = { on_input, on_closed, NULL };
   Relay *relay = w->data;
-  Pair *p;
-  char from[INET_ADDRSTRLEN];
-  int fd = ss_stream_accept (w->fd, from);
-  int far;
+  Connection *c;
+  char client_ip[INET_ADDRSTRLEN];
+  int fd = ss_stream_accept (w->fd, client_ip);
+  int server_fd;
 
   (void) events;
   if (fd < 0)
     return;
-  p = g_new0 (Pair, 1);
-  g_strlcpy (p->from, from, sizeof p->from);
-  g_strlcpy (p->to, relay->ip, sizeof p->to);
-  end_init (&p->near, p);
-  end_init (&p->far, p);
-  ev_init (&p->near.delay, deliver_held);
-  ev_init (&p->far.delay, deliver_held);
-  ss_stream_init (&p->near.stream, &klass, loop, fd, false);
-  p->near.open = true;
-  g_hash_table_add (net.pairs, p);
-  far = ss_stream_connect (NULL, relay->ip, relay->port);
-  if (far < 0)
+  c = g_new0 (Connection, 1);
+  g_strlcpy (c->client_ip, client_ip, sizeof c->client_ip);
+  g_strlcpy (c->server_ip, relay->ip, sizeof c->server_ip);
+  endpoint_init (&c->client, c);
+  endpoint_init (&c->server, c);
+  ev_init (&c->client.delay, deliver_delayed);
+  ev_init (&c->server.delay, deliver_delayed);
+  ss_stream_init (&c->client.stream, &klass, loop, fd, false);
+  c->client.open = true;
+  g_hash_table_add (net.connections, c);
+  server_fd = ss_stream_connect (NULL, relay->ip, relay->port);
+  if (server_fd < 0)
     {
-      drop_pair (p);
+      close_connection (c);
       return;
     }
-  ss_stream_init (&p->far.stream, &klass, loop, far, true);
-  p->far.open = true;
-  refresh (p);
+  ss_stream_init (&c->server.stream, &klass, loop, server_fd, true);
+  c->server.open = true;
+  apply_faults (c);
 }
 
 static void
-set_cut (json_t *body)
+set_partitioned_ips (json_t *body)
 {
   json_t *ip;
   size_t i;
 
-  g_hash_table_remove_all (net.cut);
+  g_hash_table_remove_all (net.partitioned_ips);
   json_array_foreach (json_object_get (body, "cut_ips"), i, ip)
   {
-    g_hash_table_add (net.cut, g_strdup (json_string_value (ip)));
+    g_hash_table_add (net.partitioned_ips, g_strdup (json_string_value (ip)));
   }
 }
 
 static void
-reset_pairs (const char *ip)
+reset_connections (const char *ip)
 {
-  GList *pairs = g_hash_table_get_keys (net.pairs);
+  GList *connections = g_hash_table_get_keys (net.connections);
 
-  for (GList *l = pairs; l; l = l->next)
+  for (GList *l = connections; l; l = l->next)
     {
-      Pair *p = l->data;
+      Connection *c = l->data;
 
-      if (strcmp (p->from, ip) == 0 || strcmp (p->to, ip) == 0)
-        drop_pair (p);
+      if (strcmp (c->client_ip, ip) == 0 || strcmp (c->server_ip, ip) == 0)
+        close_connection (c);
     }
-  g_list_free (pairs);
+  g_list_free (connections);
 }
 
 static void
-set_link (json_t *body)
+set_link_faults (json_t *body)
 {
   const char *ip = json_string_value (json_object_get (body, "ip"));
-  Fault *f;
+  LinkFaults *f;
 
   if (!ip)
     return;
-  f = g_new0 (Fault, 1);
+  f = g_new0 (LinkFaults, 1);
   f->delay_ms
       = (uint32_t) json_integer_value (json_object_get (body, "delay_ms"));
   f->silent_in = json_is_true (json_object_get (body, "silent_in"));
   f->silent_out = json_is_true (json_object_get (body, "silent_out"));
   g_hash_table_replace (net.faults, g_strdup (ip), f);
   if (json_is_true (json_object_get (body, "reset")))
-    reset_pairs (ip);
+    reset_connections (ip);
 }
 
 static void
@@ -276,21 +289,23 @@
   json_t *body
       = json_loadb ((const char *) r->body->data, r->body->len, 0, NULL);
   GHashTableIter iter;
-  gpointer pair;
+  gpointer connection;
 
   (void) httpd;
   if (strcmp (r->path, "/link") == 0)
-    set_link (body);
+    set_link_faults (body);
   else
-    set_cut (body);
+    set_partitioned_ips (body);
   json_decref (body);
-  g_hash_table_iter_init (&iter, net.pairs);
-  while (g_hash_table_iter_next (&iter, &pair, NULL))
-    refresh (pair);
+  g_hash_table_iter_init (&iter, net.connections);
+  while (g_hash_table_iter_next (&iter, &connection, NULL))
+    apply_faults (connection);
   ss_http_reply (r, 200, "application/json", "{}");
 }
 
-/* "LISTEN-IP:PORT=IP:PORT" */
+/* Parses "LISTEN-IP:PORT=IP:PORT" and starts to listen.  Returns false if TEXT
+ * is malformed or the address cannot be bound.
+ */
 static bool
 add_relay (const char *text)
 {
@@ -328,9 +343,10 @@
       return 2;
     }
   net.loop = ev_default_loop (0);
-  net.cut = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  net.partitioned_ips
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   net.faults = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  net.pairs = g_hash_table_new (NULL, NULL);
+  net.connections = g_hash_table_new (NULL, NULL);
   if (!ss_httpd_init (&net.httpd, &klass, net.loop, argv[1],
                       (uint16_t) atoi (argv[2])))
     {
@@ -340,7 +356,7 @@
   for (int i = 3; i < argc; i++)
     if (!add_relay (argv[i]))
       {
-        fprintf (stderr, "ss-standin-network: bad relay %s\n", argv[i]);
+        fprintf (stderr, "ss-standin-network: invalid relay %s\n", argv[i]);
         return 1;
       }
   ev_run (net.loop, 0);
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -1,7 +1,9 @@
 /* ss-standin-platform: a stand-in for the platform's object API.
  *
- * It keeps objects with versions in memory, with conditional updates and
- * watches, and a list of vms that lags.  POST /control sets its faults.
+ * Stores versioned objects in memory, with conditional updates and watches,
+ * and a list of VMs that is published with a delay.  POST /control sets the
+ * list and the faults to inject; "slow_ms" and "vms_lag_ms" are in
+ * milliseconds.
  */
 #include <ev.h>
 #include <glib.h>
@@ -28,24 +30,26 @@
   SsHttpRequest *request;
   double due_s;
   bool is_watch;
-} Waiter;
+} PendingRequest;
 
 typedef struct
 {
-  SsHttpd httpd; /* first: handlers cast back */
+  SsHttpd httpd; /* must be first: handlers cast it to Platform */
   struct ev_loop *loop;
   ev_timer tick;
   GTree *objects;
   int64_t revision;
-  json_t *vms;         /* what callers are shown */
-  json_t *vms_pending; /* shown when the lag is over */
+  json_t *vms;         /* as returned to clients */
+  json_t *vms_pending; /* replaces vms at vms_due_s; NULL: none */
   double vms_due_s;
-  GPtrArray *waiters;
+  GPtrArray *pending_requests;
   bool down;
   int64_t slow_ms;
-  int64_t lose_after_effect; /* answers of updates still to be lost */
+  int64_t lose_after_effect; /* responses to updates that are still to be lost
+                                after the update has taken effect */
   int64_t vms_lag_ms;
-  GHashTable *cut_ips;
+  GHashTable *partitioned_ips; /* clients whose requests get no response for
+                                  1 h, as in a network partition */
   int64_t reads;
   int64_t writes;
 } Platform;
@@ -103,8 +107,12 @@
   return l.items;
 }
 
+/* Answers R with the objects that have changed since the revision "since".
+ * Returns false without an answer if there are none, unless the wait has
+ * EXPIRED or "since" is 0.
+ */
 static bool
-try_watch (Platform *p, SsHttpRequest *r, bool expired)
+answer_watch (Platform *p, SsHttpRequest *r, bool expired)
 {
   const char *prefix = ss_http_query (r, "prefix");
   int64_t since = ss_http_query_number (r, "since", 0);
@@ -122,16 +130,16 @@
 }
 
 static void
-wake_watches (Platform *p)
+notify_watches (Platform *p)
 {
-  for (guint i = 0; i < p->waiters->len;)
+  for (guint i = 0; i < p->pending_requests->len;)
     {
-      Waiter *w = g_ptr_array_index (p->waiters, i);
+      PendingRequest *w = g_ptr_array_index (p->pending_requests, i);
 
       if (w->is_watch
-          && !g_hash_table_contains (p->cut_ips, w->request->client_ip)
-          && try_watch (p, w->request, false))
-        g_ptr_array_remove_index_fast (p->waiters, i);
+          && !g_hash_table_contains (p->partitioned_ips, w->request->client_ip)
+          && answer_watch (p, w->request, false))
+        g_ptr_array_remove_index_fast (p->pending_requests, i);
       else
         i++;
     }
@@ -172,7 +180,7 @@
     }
   else
     reply_json (r, 200, json_pack ("{s:I}", "version", o->version));
-  wake_watches (p);
+  notify_watches (p);
 }
 
 static void
@@ -187,15 +195,16 @@
     reply_json (r, 200, object_json (key, o));
 }
 
+/* Serves R after WAIT_MS; a watch also as soon as an object changes. */
 static void
-add_waiter (Platform *p, SsHttpRequest *r, int64_t wait_ms, bool is_watch)
+postpone_request (Platform *p, SsHttpRequest *r, int64_t wait_ms, bool is_watch)
 {
-  Waiter *w = g_new0 (Waiter, 1);
+  PendingRequest *w = g_new0 (PendingRequest, 1);
 
   w->request = r;
   w->due_s = ev_now (p->loop) + (double) wait_ms / 1000.0;
   w->is_watch = is_watch;
-  g_ptr_array_add (p->waiters, w);
+  g_ptr_array_add (p->pending_requests, w);
 }
 
 static void
@@ -215,8 +224,9 @@
   else if (strcmp (r->path, "/v1/watch") == 0)
     {
       p->reads++;
-      if (!try_watch (p, r, false))
-        add_waiter (p, r, ss_http_query_number (r, "wait_ms", 10000), true);
+      if (!answer_watch (p, r, false))
+        postpone_request (p, r, ss_http_query_number (r, "wait_ms", 10000),
+                          true);
     }
   else if (strcmp (r->path, "/v1/vms") == 0)
     {
@@ -228,20 +238,20 @@
 }
 
 static void
-set_cuts (Platform *p, json_t *ips)
+set_partitioned_ips (Platform *p, json_t *ips)
 {
   json_t *ip;
   size_t i;
 
-  g_hash_table_remove_all (p->cut_ips);
+  g_hash_table_remove_all (p->partitioned_ips);
   json_array_foreach (ips, i, ip)
   {
-    g_hash_table_add (p->cut_ips, g_strdup (json_string_value (ip)));
+    g_hash_table_add (p->partitioned_ips, g_strdup (json_string_value (ip)));
   }
 }
 
 static void
-control (Platform *p, SsHttpRequest *r)
+handle_control (Platform *p, SsHttpRequest *r)
 {
   json_t *body
       = json_loadb ((const char *) r->body->data, r->body->len, 0, NULL);
@@ -256,7 +266,7 @@
   if ((item = json_object_get (body, "vms_lag_ms")))
     p->vms_lag_ms = json_integer_value (item);
   if ((item = json_object_get (body, "cut_ips")))
-    set_cuts (p, item);
+    set_partitioned_ips (p, item);
   if ((item = json_object_get (body, "vms")))
     {
       json_decref (p->vms_pending);
@@ -275,13 +285,13 @@
   Platform *p = (Platform *) (void *) httpd;
 
   if (strcmp (r->path, "/control") == 0)
-    control (p, r);
-  else if (g_hash_table_contains (p->cut_ips, r->client_ip))
-    add_waiter (p, r, 3600000, false);
+    handle_control (p, r);
+  else if (g_hash_table_contains (p->partitioned_ips, r->client_ip))
+    postpone_request (p, r, 3600000, false);
   else if (p->down)
     reply_json (r, 503, json_pack ("{s:s}", "error", "outage"));
   else if (p->slow_ms > 0)
-    add_waiter (p, r, p->slow_ms, false);
+    postpone_request (p, r, p->slow_ms, false);
   else
     serve (p, r);
 }
@@ -291,13 +301,13 @@
 {
   Platform *p = (Platform *) (void *) httpd;
 
-  for (guint i = 0; i < p->waiters->len; i++)
+  for (guint i = 0; i < p->pending_requests->len; i++)
     {
-      Waiter *w = g_ptr_array_index (p->waiters, i);
+      PendingRequest *w = g_ptr_array_index (p->pending_requests, i);
 
       if (w->request != r)
         continue;
-      g_ptr_array_remove_index_fast (p->waiters, i);
+      g_ptr_array_remove_index_fast (p->pending_requests, i);
       return;
     }
 }
@@ -314,20 +324,20 @@
       p->vms = p->vms_pending;
       p->vms_pending = NULL;
     }
-  for (guint i = 0; i < p->waiters->len;)
+  for (guint i = 0; i < p->pending_requests->len;)
     {
-      Waiter *waiter = g_ptr_array_index (p->waiters, i);
-      SsHttpRequest *r = waiter->request;
-      bool is_watch = waiter->is_watch;
+      PendingRequest *pending = g_ptr_array_index (p->pending_requests, i);
+      SsHttpRequest *r = pending->request;
+      bool is_watch = pending->is_watch;
 
-      if (ev_now (loop) < waiter->due_s)
+      if (ev_now (loop) < pending->due_s)
         {
           i++;
           continue;
         }
-      g_ptr_array_remove_index_fast (p->waiters, i);
+      g_ptr_array_remove_index_fast (p->pending_requests, i);
       if (is_watch)
-        try_watch (p, r, true);
+        answer_watch (p, r, true);
       else
         serve (p, r);
     }
@@ -357,8 +367,9 @@
     }
   p->loop = ev_default_loop (0);
   p->objects = g_tree_new_full (ss_names_compare, NULL, g_free, object_free);
-  p->waiters = g_ptr_array_new_with_free_func (g_free);
-  p->cut_ips = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  p->pending_requests = g_ptr_array_new_with_free_func (g_free);
+  p->partitioned_ips
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   p->vms = json_array ();
   if (!ss_httpd_init (&p->httpd, &klass, p->loop, argv[1],
                       (uint16_t) atoi (argv[2])))
--- a/standin/server.c
+++ b/standin/server.c
@@ -10,7 +10,7 @@
 }
 
 static void
-remember_term (SsServer *s)
+append_term (SsServer *s)
 {
   if (!s->term_file)
     return;
@@ -19,7 +19,7 @@
 }
 
 static void
-load_terms (SsServer *s, const char *data_path)
+load_term (SsServer *s, const char *data_path)
 {
   char *path = g_strconcat (data_path, ".term", NULL);
   char *text = NULL;
@@ -50,15 +50,15 @@
   server->heard_ms = ss_server_now_ms (server);
   ss_store_init (&server->store, data_path);
   if (data_path)
-    load_terms (server, data_path);
+    load_term (server, data_path);
 }
 
 bool
-ss_server_set_lie (SsServer *server, const char *name)
+ss_server_set_defect (SsServer *server, const char *name)
 {
   static const char *const names[] = {
 #define X(id, text) text,
-    SS_LIES (X)
+    SS_DEFECTS (X)
 #undef X
   };
 
@@ -66,41 +66,41 @@
     {
       if (strcmp (names[i], name) != 0)
         continue;
-      server->lie = (SsLie) i;
+      server->defect = (SsDefect) i;
       return true;
     }
   return false;
 }
 
 bool
-ss_server_is_lying (SsServer *server, SsLie lie, uint32_t every)
+ss_server_defect_occurs (SsServer *server, SsDefect defect, uint32_t period)
 {
-  return server->lie == lie && ++server->lie_turns % every == 0;
+  return server->defect == defect && ++server->defect_calls % period == 0;
 }
 
 bool
-ss_server_raise (SsServer *server, uint64_t term)
+ss_server_raise_term (SsServer *server, uint64_t term)
 {
   if (term < server->shown_term)
     return false;
   if (term == server->shown_term)
     return true;
   server->shown_term = term;
-  remember_term (server);
-  if (server->role == SS_ROLE_PRIMARY && server->lie != SS_LIE_TERM)
+  append_term (server);
+  if (server->role == SS_ROLE_PRIMARY && server->defect != SS_DEFECT_TERM)
     server->role = SS_ROLE_FENCED;
-  server->link_generation++;
+  server->replication_generation++;
   return true;
 }
 
 bool
 ss_server_promote (SsServer *server, uint64_t term)
 {
-  if (!ss_server_raise (server, term))
+  if (!ss_server_raise_term (server, term))
     return false;
   if (server->role == SS_ROLE_PRIMARY)
     return true;
-  /* A server that follows another primary of this term is not promoted. */
+  /* Another server is the primary of this term. */
   if (server->follow_term == term)
     return false;
   server->role = SS_ROLE_PRIMARY;
@@ -114,7 +114,7 @@
 ss_server_follow (SsServer *server, uint64_t term, const char *ip,
                   const char *port)
 {
-  if (!ss_server_raise (server, term))
+  if (!ss_server_raise_term (server, term))
     return false;
   if (server->role == SS_ROLE_PRIMARY)
     return false;
@@ -123,7 +123,7 @@
   server->follow_term = term;
   server->role = SS_ROLE_REPLICA;
   server->first_wanted = ss_store_held (&server->store);
-  server->link_generation++;
+  server->replication_generation++;
   return true;
 }
 
@@ -156,14 +156,15 @@
 }
 
 void
-ss_server_take_log (SsServer *server, const char *found, const uint64_t *terms,
-                    const char *const *payloads, uint32_t count)
+ss_server_take_log (SsServer *server, const char *outcome,
+                    const uint64_t *terms, const char *const *payloads,
+                    uint32_t count)
 {
-  /* A refusal comes from a server that is not the primary. */
-  if (strcmp (found, "refused") == 0)
+  /* Not the primary of the followed term. */
+  if (strcmp (outcome, "refused") == 0)
     return;
   server->heard_ms = ss_server_now_ms (server);
-  if (strcmp (found, "mismatch") == 0)
+  if (strcmp (outcome, "mismatch") == 0)
     {
       if (server->first_wanted > 0)
         server->first_wanted--;
@@ -178,8 +179,8 @@
 bool
 ss_server_wants_log (const SsServer *server)
 {
-  return server->role == SS_ROLE_REPLICA && server->upstream && !server->cut
-         && server->shown_term == server->follow_term;
+  return server->role == SS_ROLE_REPLICA && server->upstream
+         && !server->partitioned && server->shown_term == server->follow_term;
 }
 
 void
--- a/standin/server.h
+++ b/standin/server.h
@@ -1,8 +1,8 @@
 /* server: one stand-in database server of a group.
  *
- * It remembers the highest term it was shown, refuses older ones, and follows
- * a primary by asking it for its log.  Roles change only by the calls
- * sapphirestair_raise, _promote and _follow.
+ * Stores the highest term it has received and rejects older terms.  A replica
+ * requests the log from its primary.  Roles change only by the SQL functions
+ * sapphirestair_raise, sapphirestair_promote and sapphirestair_follow.
  */
 #ifndef SS_STANDIN_SERVER_H
 #define SS_STANDIN_SERVER_H
@@ -17,75 +17,98 @@
   SS_ROLE_FENCED
 } SsRole;
 
-/* What a server gets wrong, so that the checks can be seen to fail. */
-#define SS_LIES(X)                                                             \
+/* Seeded defects: a server with one of them shows that the checks detect it. */
+#define SS_DEFECTS(X)                                                          \
   X (NONE, "none")                                                             \
-  X (APPLIED, "applied") /* tells that all it holds is applied */              \
-  X (TERM, "term")       /* goes on as a primary after a later term */         \
-  X (COMMIT, "commit")   /* knows no transactions */                           \
-  X (REQUEST, "request") /* takes a request id twice */                        \
-  X (REFUSAL, "refusal") /* refuses some commits that it ran */                \
-  X (CHECK, "check")     /* fails some commits that it ran for good */         \
-  X (ANSWER, "answer")   /* gives other values now and then */
+  X (APPLIED, "applied") /* reports its whole log as applied */                \
+  X (TERM, "term")       /* remains primary after a later term */              \
+  X (COMMIT, "commit")   /* ignores BEGIN and COMMIT */                        \
+  X (REQUEST, "request") /* accepts a duplicate idempotency key */             \
+  X (REFUSAL, "refusal") /* reports executed commits as failed, retryable */   \
+  X (CHECK, "check")     /* reports executed commits as failed, permanent */   \
+  X (ANSWER, "answer")   /* returns some wrong values */
 
 typedef enum
 {
-#define X(id, name) SS_LIE_##id,
-  SS_LIES (X)
+#define X(id, name) SS_DEFECT_##id,
+  SS_DEFECTS (X)
 #undef X
-} SsLie;
+} SsDefect;
 
 typedef struct
 {
   const SsClock *clock;
   SsStore store;
   SsRole role;
-  uint64_t shown_term;
-  uint64_t follow_term;
-  char *upstream;           /* "ip port", or NULL */
-  int64_t heard_ms;         /* the primary's last answer */
-  uint64_t first_wanted;    /* while the common prefix is looked for */
-  uint64_t link_generation; /* moves when the link has to be made anew */
-  GPtrArray *sessions;      /* of SsSqlSession */
-  FILE *term_file;
+  uint64_t shown_term;  /* highest term received */
+  uint64_t follow_term; /* term of the primary that it follows */
+  char *upstream;       /* "IP PORT" of the primary, or NULL */
+  int64_t heard_ms;     /* time of the primary's last response */
+  /* Position after which the log is requested; moves back while the common
+   * prefix of both logs is searched.
+   */
+  uint64_t first_wanted;
+  /* Incremented when the log receiver has to reconnect. */
+  uint64_t replication_generation;
+  GPtrArray *sessions; /* of SsSqlSession */
+  FILE *term_file;     /* NULL: shown_term is kept in memory only */
 
   int64_t apply_lag_ms;
   int64_t connect_ms;
   int64_t slow_ms;
   int64_t max_connections;
-  bool cut; /* replication, both ways */
-  SsLie lie;
-  uint32_t lie_turns;
+  bool partitioned; /* for replication, in both directions */
+  SsDefect defect;
+  uint32_t defect_calls;
 } SsServer;
 
 int64_t ss_server_now_ms (const SsServer *server);
 
-/* ss_server_init: DATA_PATH may be NULL (memory only). */
+/* ss_server_init: loads the log from DATA_PATH and the term from
+ * DATA_PATH.term, and appends later changes to them.  With a NULL path, or
+ * where a file cannot be opened, the data is kept in memory only.
+ */
 void ss_server_init (SsServer *server, const SsClock *clock,
                      const char *data_path);
 void ss_server_finish (SsServer *server);
 
-/* ss_server_set_lie: returns false where NAME is none. */
-bool ss_server_set_lie (SsServer *server, const char *name);
-/* ss_server_is_lying: whether it tells LIE now: one time in EVERY. */
-bool ss_server_is_lying (SsServer *server, SsLie lie, uint32_t every);
+/* ss_server_set_defect: returns false if NAME is not in SS_DEFECTS. */
+bool ss_server_set_defect (SsServer *server, const char *name);
+/* ss_server_defect_occurs: returns whether the server shows DEFECT in this
+ * call.  A server that has it does so in one of PERIOD calls.
+ */
+bool ss_server_defect_occurs (SsServer *server, SsDefect defect,
+                              uint32_t period);
 
-/* ss_server_raise: returns whether TERM is now the highest shown one. */
-bool ss_server_raise (SsServer *server, uint64_t term);
+/* ss_server_raise_term: raises the highest received term to TERM.  A primary of
+ * an older term becomes fenced.  Returns false if a later term was received.
+ */
+bool ss_server_raise_term (SsServer *server, uint64_t term);
+/* ss_server_promote: makes the server the primary of TERM, appends an empty
+ * entry of TERM and applies the whole log.  Returns false if a later term was
+ * received or the server follows another primary of TERM.
+ */
 bool ss_server_promote (SsServer *server, uint64_t term);
+/* ss_server_follow: makes the server a replica of the primary of TERM at IP and
+ * PORT.  Returns false if a later term was received or the server is the
+ * primary of TERM.
+ */
 bool ss_server_follow (SsServer *server, uint64_t term, const char *ip,
                        const char *port);
 const char *ss_server_role_name (const SsServer *server);
 
-/* ss_server_tick: applies what is due. */
+/* ss_server_tick: applies log entries whose apply lag has passed. */
 void ss_server_tick (SsServer *server);
 
-/* ss_server_wants_log: whether it follows a primary now. */
+/* ss_server_wants_log: returns whether the server is a replica of the primary
+ * of the highest received term and is not partitioned.
+ */
 bool ss_server_wants_log (const SsServer *server);
-/* ss_server_take_log: the primary's answer to a request for the log after
- * server->first_wanted: "ok", "mismatch" or "refused", and COUNT entries.
+/* ss_server_take_log: handles the primary's response to a request for the log
+ * after server->first_wanted.  OUTCOME is "ok", "mismatch" if the terms at that
+ * position differ, or "refused".  TERMS and PAYLOADS hold COUNT entries.
  */
-void ss_server_take_log (SsServer *server, const char *found,
+void ss_server_take_log (SsServer *server, const char *outcome,
                          const uint64_t *terms, const char *const *payloads,
                          uint32_t count);
 
--- a/standin/session.c
+++ b/standin/session.c
@@ -5,9 +5,9 @@
 #include "plugins/pgwire.h"
 #include "standin/sql.h"
 
-/* Of commits, and of values, one in so many is a lie. */
-#define REFUSAL_TURNS 20
-#define ANSWER_TURNS 50
+/* A defect affects one in so many commits or values. */
+#define COMMIT_DEFECT_PERIOD 20
+#define VALUE_DEFECT_PERIOD 50
 
 static GByteArray *
 out (SsSqlSession *c)
@@ -42,6 +42,7 @@
     c->row[c->row_cells++] = g_strdup (cells[i]);
 }
 
+/* Returns whether an open transaction has inserted the idempotency key KEY. */
 static bool
 key_is_pending (SsSqlSession *c, const char *key)
 {
@@ -89,7 +90,7 @@
   if (!write_allowed (c))
     return false;
   if (strcmp (q->name, SS_STORE_UNIQUE_TABLE) == 0
-      && c->server->lie != SS_LIE_REQUEST)
+      && c->server->defect != SS_DEFECT_REQUEST)
     {
       if (ss_store_values (&c->server->store, q->name, q->key))
         {
@@ -109,7 +110,9 @@
   return true;
 }
 
-/* The values of KEY as the transaction sees them. */
+/* Returns copies of the values of KEY, with the changes of the open
+ * transaction; free with g_ptr_array_free.
+ */
 static GPtrArray *
 visible_values (SsSqlSession *c, const char *table, const char *key)
 {
@@ -166,7 +169,8 @@
     {
       const char *cells[2] = { key, g_ptr_array_index (values, i) };
 
-      if (ss_server_is_lying (c->server, SS_LIE_ANSWER, ANSWER_TURNS))
+      if (ss_server_defect_occurs (c->server, SS_DEFECT_ANSWER,
+                                   VALUE_DEFECT_PERIOD))
         cells[1] = "other";
       if (q->columns == SS_SQL_KEY_VALUE)
         put_row (c, cells, 2);
@@ -223,12 +227,12 @@
   complete (c, "SELECT 1");
 }
 
-/* The position that is told as applied. */
+/* Returns the position that the server reports as applied. */
 static uint64_t
-told_applied (const SsServer *s)
+reported_applied (const SsServer *s)
 {
-  return s->lie == SS_LIE_APPLIED ? ss_store_held (&s->store)
-                                  : s->store.applied;
+  return s->defect == SS_DEFECT_APPLIED ? ss_store_held (&s->store)
+                                        : s->store.applied;
 }
 
 static void
@@ -247,8 +251,8 @@
   numbers[0] = s->shown_term;
   numbers[1] = ss_store_term_at (store, ss_store_held (store));
   numbers[2] = ss_store_held (store);
-  numbers[3] = ss_store_term_at (store, told_applied (s));
-  numbers[4] = told_applied (s);
+  numbers[3] = ss_store_term_at (store, reported_applied (s));
+  numbers[4] = reported_applied (s);
   numbers[5] = (uint64_t) (ss_server_now_ms (s) - s->heard_ms);
   numbers[6] = s->follow_term;
   cells[0] = ss_server_role_name (s);
@@ -280,7 +284,7 @@
   else if (strcmp (name, "max_connections") == 0)
     s->max_connections = number;
   else if (strcmp (name, "cut") == 0)
-    s->cut = number != 0;
+    s->partitioned = number != 0;
   else
     {
       ss_sql_session_fail (c, "22023", "no such control");
@@ -298,7 +302,6 @@
   put_one_row (c, names, &cell, 1);
 }
 
-/* Answers a replica's request for the log after a position. */
 bool
 ss_sql_session_answer_log (SsSqlSession *c, bool expired)
 {
@@ -307,9 +310,10 @@
   SsStore *store = &s->store;
   const char *cells[2] = { "ok", "" };
   char term[24];
-  bool is_current = s->role == SS_ROLE_PRIMARY && c->link_term == s->shown_term;
+  bool is_current
+      = s->role == SS_ROLE_PRIMARY && c->replica_follow_term == s->shown_term;
 
-  if (s->cut)
+  if (s->partitioned)
     return false;
   if (!is_current)
     cells[0] = "refused";
@@ -344,7 +348,7 @@
 static void
 call_log (SsSqlSession *c, const SsSql *q)
 {
-  c->link_term = number_argument (q, 0);
+  c->replica_follow_term = number_argument (q, 0);
   c->log_position = number_argument (q, 1);
   c->log_term = number_argument (q, 2);
   c->log_due_ms
@@ -366,7 +370,7 @@
   if (is_call (q, "sapphirestair_status", 0))
     call_status (c);
   else if (is_call (q, "sapphirestair_raise", 1))
-    put_result (c, ss_server_raise (s, number_argument (q, 0)));
+    put_result (c, ss_server_raise_term (s, number_argument (q, 0)));
   else if (is_call (q, "sapphirestair_promote", 1))
     put_result (c, ss_server_promote (s, number_argument (q, 0)));
   else if (is_call (q, "sapphirestair_follow", 3))
@@ -398,7 +402,7 @@
                               ss_server_now_ms (s));
   ss_store_apply_to (&s->store, position);
   c->committed = position;
-  c->shown_commit = position;
+  c->unreported_commit = position;
   g_free (payload);
   g_ptr_array_set_size (c->ops, 0);
 }
@@ -423,12 +427,14 @@
       return false;
     }
   commit (c);
-  if (ss_server_is_lying (c->server, SS_LIE_REFUSAL, REFUSAL_TURNS))
+  if (ss_server_defect_occurs (c->server, SS_DEFECT_REFUSAL,
+                               COMMIT_DEFECT_PERIOD))
     {
       ss_sql_session_fail (c, "40001", "could not serialize access");
       return false;
     }
-  if (ss_server_is_lying (c->server, SS_LIE_CHECK, REFUSAL_TURNS))
+  if (ss_server_defect_occurs (c->server, SS_DEFECT_CHECK,
+                               COMMIT_DEFECT_PERIOD))
     {
       ss_sql_session_fail (c, "23514", "a check constraint is violated");
       return false;
@@ -440,7 +446,7 @@
 static bool
 is_ignored (const SsSqlSession *c, const SsSql *q)
 {
-  return c->server->lie == SS_LIE_COMMIT
+  return c->server->defect == SS_DEFECT_COMMIT
          && (q->kind == SS_SQL_BEGIN || q->kind == SS_SQL_COMMIT);
 }
 
@@ -499,7 +505,7 @@
     case SS_SQL_INVALID:
     default:
       ss_sql_session_fail (c, "42601",
-                           "syntax not understood by this stand-in");
+                           "syntax is not supported by this stand-in");
       return false;
     }
 }
@@ -515,23 +521,24 @@
 }
 
 void
-ss_sql_session_end (SsSqlSession *c)
+ss_sql_session_put_ready (SsSqlSession *c)
 {
-  if (c->shown_commit)
+  if (c->unreported_commit)
     {
-      put_position (c, "sapphirestair.commit", c->shown_commit);
-      c->shown_commit = 0;
+      put_position (c, "sapphirestair.commit", c->unreported_commit);
+      c->unreported_commit = 0;
     }
-  if (c->shown_applied != told_applied (c->server) && !c->is_link)
+  if (c->last_reported_applied != reported_applied (c->server)
+      && !c->is_replication)
     {
-      c->shown_applied = told_applied (c->server);
-      put_position (c, "sapphirestair.applied", c->shown_applied);
+      c->last_reported_applied = reported_applied (c->server);
+      put_position (c, "sapphirestair.applied", c->last_reported_applied);
     }
   ss_pgwire_ready (out (c), c->status);
 }
 
 static void
-clear_answer (SsSqlSession *c)
+clear_result (SsSqlSession *c)
 {
   for (uint32_t i = 0; i < c->row_cells; i++)
     g_free (c->row[i]);
@@ -549,7 +556,7 @@
   bool ok = true;
 
   c->waits_for_log = false;
-  clear_answer (c);
+  clear_result (c);
   for (uint32_t i = 0; parts[i] && ok; i++)
     {
       SsSql q;
@@ -560,13 +567,13 @@
       ss_sql_finish (&q);
     }
   g_strfreev (parts);
-  /* Statements outside of a transaction block commit with the message. */
+  /* Statements outside a transaction block commit at the end of the message. */
   if (c->status == 'I' && ok)
     commit (c);
   if (c->status == 'I' && !ok)
     g_ptr_array_set_size (c->ops, 0);
   if (!c->waits_for_log)
-    ss_sql_session_end (c);
+    ss_sql_session_put_ready (c);
 }
 
 void
@@ -582,7 +589,7 @@
 void
 ss_sql_session_finish (SsSqlSession *session)
 {
-  clear_answer (session);
+  clear_result (session);
   g_ptr_array_remove_fast (session->server->sessions, session);
   g_ptr_array_free (session->ops, TRUE);
 }
--- a/standin/session.h
+++ b/standin/session.h
@@ -1,6 +1,6 @@
-/* session: one client's statements at a stand-in server; no sockets.
+/* session: executes one client's statements at a stand-in server.
  *
- * Shared by the server's process and by the property tests.
+ * Uses no sockets.  Shared by ss-standin-target and by the property tests.
  */
 #ifndef SS_STANDIN_SESSION_H
 #define SS_STANDIN_SESSION_H
@@ -16,40 +16,49 @@
 typedef struct
 {
   SsServer *server;
-  GByteArray *out; /* set before each call; borrowed */
-  bool is_link;    /* a replica's link does not count */
+  GByteArray *out;     /* receives the responses; set before each call;
+                       borrowed */
+  bool is_replication; /* connection of a replica; not limited in number */
+  /* request of a replica for the log */
   bool waits_for_log;
-  int64_t log_due_ms;
-  uint64_t log_position;
-  uint64_t log_term;
-  uint64_t link_term;
+  int64_t log_due_ms;    /* time by which it is answered */
+  uint64_t log_position; /* the last entry that the replica has */
+  uint64_t log_term;     /* of that entry */
+  uint64_t replica_follow_term;
   char status; /* transaction status: I, T or E */
   bool read_only;
-  GPtrArray *ops; /* of the open transaction */
-  uint64_t shown_applied;
-  uint64_t shown_commit;
-  /* the last message's answer */
+  GPtrArray *ops; /* SsOp, of the open transaction */
+  uint64_t last_reported_applied;
+  uint64_t unreported_commit; /* position; 0: none */
+  /* result of the last message */
   bool failed;
   char sqlstate[6];
   char tag[32];
   char *row[SS_SQL_SESSION_CELLS_MAX]; /* first row */
   uint32_t row_cells;
-  uint64_t committed; /* position of its commit; 0: none */
+  uint64_t committed; /* position of the last message's commit; 0: none */
 } SsSqlSession;
 
 void ss_sql_session_init (SsSqlSession *session, SsServer *server);
 void ss_sql_session_finish (SsSqlSession *session);
 
-/* ss_sql_session_run: runs one simple query message; its answer is appended
- * to session->out, unless the session then waits for the log.
+/* ss_sql_session_run: executes one simple query message.  Appends the response
+ * to session->out; if the session then waits for the log, it lacks the result
+ * of the log request and ReadyForQuery.
  */
 void ss_sql_session_run (SsSqlSession *session, const char *text);
-/* ss_sql_session_answer_log: answers a replica that waits for the log; false
- * while there is nothing to tell it.
+/* ss_sql_session_answer_log: answers a replica's request for the log, without
+ * ReadyForQuery.  Returns false without an answer if replication is
+ * partitioned, or if there are no new entries and the wait has not EXPIRED.
  */
 bool ss_sql_session_answer_log (SsSqlSession *session, bool expired);
-/* ss_sql_session_end: closes a message's answer. */
-void ss_sql_session_end (SsSqlSession *session);
+/* ss_sql_session_put_ready: ends the response to a message: appends the changed
+ * positions as ParameterStatus messages, and ReadyForQuery.
+ */
+void ss_sql_session_put_ready (SsSqlSession *session);
+/* ss_sql_session_fail: appends an error response and aborts the open
+ * transaction.
+ */
 void ss_sql_session_fail (SsSqlSession *session, const char *sqlstate,
                           const char *message);
 
--- a/standin/sql.c
+++ b/standin/sql.c
@@ -51,7 +51,7 @@
   return g_strdup (s->value.v_identifier);
 }
 
-/* A quoted string or a number, as text. */
+/* Consumes a quoted string or a number and returns it as text, or NULL. */
 static char *
 take_literal (GScanner *s)
 {
--- a/standin/sql.h
+++ b/standin/sql.h
@@ -1,4 +1,4 @@
-/* sql: the few statements that the stand-in server understands. */
+/* sql: parses the subset of SQL that the stand-in server supports. */
 #ifndef SS_STANDIN_SQL_H
 #define SS_STANDIN_SQL_H
 
@@ -42,11 +42,14 @@
   uint32_t argument_count;
 } SsSql;
 
-/* ss_sql_init: parses one statement; INVALID where it is not understood. */
+/* ss_sql_init: parses one statement.  The kind is SS_SQL_INVALID if the
+ * statement is not supported.  Free the fields with ss_sql_finish.
+ */
 void ss_sql_init (SsSql *sql, const char *text);
 void ss_sql_finish (SsSql *sql);
 
-/* ss_sql_split: splits at semicolons outside of quotes; g_strfreev. */
+/* ss_sql_split: splits TEXT at semicolons outside quotes; free with g_strfreev.
+ */
 char **ss_sql_split (const char *text);
 
 #endif
--- a/standin/target.c
+++ b/standin/target.c
@@ -1,8 +1,13 @@
 /* ss-standin-target: one server of a stand-in database group.
  *
- * It speaks the PostgreSQL protocol.  SELECT sapphirestair_control('NAME', N)
- * sets its faults: apply_lag_ms, connect_ms, slow_ms, max_connections, cut.
- * SS_STANDIN_LIE in the environment names what it gets wrong (SS_LIES).
+ * Speaks the simple query protocol of PostgreSQL.
+ *
+ * SELECT sapphirestair_control('NAME', N) injects faults.  "apply_lag_ms",
+ * "connect_ms" and "slow_ms" delay the application of the log, connections and
+ * queries, in milliseconds; "max_connections" limits connections; "cut" (0 or
+ * 1) stops replication in both directions.
+ *
+ * The environment variable SS_STANDIN_LIE names a seeded defect (SS_DEFECTS).
  */
 #include <signal.h>
 #include <stdlib.h>
@@ -20,22 +25,22 @@
 typedef struct
 {
   SsServer server;
-  SsLink link;
+  SsLogReceiver log_receiver;
   ev_io accept_io;
   ev_timer tick;
   GPtrArray *clients;
-  uint32_t next_process;
+  uint32_t last_process_id;
 } Target;
 
 struct Client
 {
-  SsStream stream; /* first: callbacks cast back */
+  SsStream stream; /* must be first: callbacks cast it to Client */
   Target *target;
   ev_timer delay;
-  uint32_t process;
+  uint32_t process_id;
   bool started;
   bool delayed;
-  char *query; /* delayed */
+  char *query; /* runs at the end of the delay; NULL: none */
   SsSqlSession sql;
 };
 
@@ -57,15 +62,16 @@
 }
 
 static void
-end_query (Client *c)
+put_ready (Client *c)
 {
   c->sql.out = out (c);
-  ss_sql_session_end (&c->sql);
+  ss_sql_session_put_ready (&c->sql);
 }
 
-/* Answers the replicas that wait for the log. */
+/* Answers replicas whose requests for the log can be answered or have expired.
+ */
 static void
-wake_links (Target *t, int64_t now_ms)
+answer_waiting_replicas (Target *t, int64_t now_ms)
 {
   for (guint i = 0; i < t->clients->len; i++)
     {
@@ -77,7 +83,7 @@
       if (!ss_sql_session_answer_log (&c->sql, now_ms >= c->sql.log_due_ms))
         continue;
       c->sql.waits_for_log = false;
-      end_query (c);
+      put_ready (c);
       ss_stream_flush (&c->stream);
     }
 }
@@ -88,22 +94,22 @@
   c->sql.out = out (c);
   ss_sql_session_run (&c->sql, text);
   if (c->sql.committed)
-    wake_links (c->target, ss_server_now_ms (&c->target->server));
+    answer_waiting_replicas (c->target, ss_server_now_ms (&c->target->server));
 }
 
 static void
-start_client (Client *c)
+finish_startup (Client *c)
 {
   ss_pgwire_auth_ok (out (c));
   ss_pgwire_parameter (out (c), "server_version", "15.0");
   ss_pgwire_parameter (out (c), "client_encoding", "UTF8");
   ss_pgwire_parameter (out (c), "standard_conforming_strings", "on");
-  ss_pgwire_key_data (out (c), c->process, 1);
-  end_query (c);
+  ss_pgwire_key_data (out (c), c->process_id, 1);
+  put_ready (c);
   c->started = true;
 }
 
-static void take_messages (Client *c);
+static void handle_messages (Client *c);
 
 static void
 on_delay (struct ev_loop *loop, ev_timer *w, int events)
@@ -114,7 +120,7 @@
   (void) events;
   c->delayed = false;
   if (!c->started)
-    start_client (c);
+    finish_startup (c);
   else if (c->query)
     {
       char *query = g_steal_pointer (&c->query);
@@ -123,11 +129,11 @@
       g_free (query);
     }
   ss_stream_flush (&c->stream);
-  take_messages (c);
+  handle_messages (c);
 }
 
 static void
-delay (Client *c, int64_t wait_ms)
+start_delay (Client *c, int64_t wait_ms)
 {
   c->delayed = true;
   ev_timer_stop (c->stream.loop, &c->delay);
@@ -136,7 +142,7 @@
 }
 
 static int64_t
-counted_clients (const Target *t)
+count_clients (const Target *t)
 {
   int64_t count = 0;
 
@@ -144,26 +150,26 @@
     {
       const Client *c = g_ptr_array_index (t->clients, i);
 
-      count += c->sql.is_link ? 0 : 1;
+      count += c->sql.is_replication ? 0 : 1;
     }
   return count;
 }
 
 static void
-take_startup (Client *c, const SsPgwireMessage *m)
+handle_startup (Client *c, const SsPgwireMessage *m)
 {
   const char *user = ss_pgwire_startup_value (m, "user");
 
-  c->sql.is_link = user && strcmp (user, "replication") == 0;
-  if (counted_clients (c->target) > c->target->server.max_connections
-      && !c->sql.is_link)
+  c->sql.is_replication = user && strcmp (user, "replication") == 0;
+  if (count_clients (c->target) > c->target->server.max_connections
+      && !c->sql.is_replication)
     {
       ss_pgwire_error (out (c), "FATAL", "53300",
                        "sorry, too many clients already", NULL, NULL);
       ss_stream_close_when_sent (&c->stream);
       return;
     }
-  delay (c, c->sql.is_link ? 0 : c->target->server.connect_ms);
+  start_delay (c, c->sql.is_replication ? 0 : c->target->server.connect_ms);
 }
 
 static void
@@ -173,7 +179,7 @@
     {
       Client *other = g_ptr_array_index (c->target->clients, i);
 
-      if (other->process != m->cancel_process || !other->query)
+      if (other->process_id != m->cancel_process || !other->query)
         continue;
       g_clear_pointer (&other->query, g_free);
       ev_timer_stop (other->stream.loop, &other->delay);
@@ -181,14 +187,14 @@
       other->sql.out = out (other);
       ss_sql_session_fail (&other->sql, "57014",
                            "canceling statement due to user request");
-      end_query (other);
+      put_ready (other);
       ss_stream_flush (&other->stream);
     }
 }
 
-/* Returns false where the client was freed. */
+/* Returns false if it has freed the client. */
 static bool
-take_message (Client *c, const SsPgwireMessage *m)
+handle_message (Client *c, const SsPgwireMessage *m)
 {
   switch (m->kind)
     {
@@ -196,18 +202,18 @@
       g_byte_array_append (out (c), (const uint8_t *) "N", 1);
       break;
     case SS_PGWIRE_STARTUP:
-      take_startup (c, m);
+      handle_startup (c, m);
       break;
     case SS_PGWIRE_CANCEL:
       cancel_client (c, m);
       client_free (c);
       return false;
     case SS_PGWIRE_QUERY:
-      if (c->target->server.slow_ms > 0 && !c->sql.is_link
+      if (c->target->server.slow_ms > 0 && !c->sql.is_replication
           && !strstr (m->text, "sapphirestair_control"))
         {
           c->query = g_strdup (m->text);
-          delay (c, c->target->server.slow_ms);
+          start_delay (c, c->target->server.slow_ms);
         }
       else
         run_query (c, m->text);
@@ -215,7 +221,7 @@
     case SS_PGWIRE_IGNORED:
       break;
     case SS_PGWIRE_SYNC:
-      end_query (c);
+      put_ready (c);
       break;
     case SS_PGWIRE_EXTENDED:
       ss_pgwire_error (out (c), "ERROR", "0A000",
@@ -229,7 +235,7 @@
 }
 
 static void
-take_messages (Client *c)
+handle_messages (Client *c)
 {
   while (c->stream.input && !c->delayed && !c->sql.waits_for_log)
     {
@@ -238,7 +244,7 @@
 
       if (m.kind == SS_PGWIRE_NONE)
         break;
-      if (!take_message (c, &m))
+      if (!handle_message (c, &m))
         return;
       ss_stream_consume (&c->stream, m.used_bytes);
     }
@@ -248,7 +254,7 @@
 static void
 on_input (SsStream *stream)
 {
-  take_messages ((Client *) stream);
+  handle_messages ((Client *) stream);
 }
 
 static void
@@ -274,7 +280,7 @@
   c->delay.data = c;
   c->target = t;
   ss_sql_session_init (&c->sql, &t->server);
-  c->process = ++t->next_process;
+  c->process_id = ++t->last_process_id;
   g_ptr_array_add (t->clients, c);
 }
 
@@ -287,8 +293,8 @@
   (void) loop;
   (void) events;
   ss_server_tick (&t->server);
-  ss_link_tick (&t->link);
-  wake_links (t, now_ms);
+  ss_log_receiver_tick (&t->log_receiver);
+  answer_waiting_replicas (t, now_ms);
 }
 
 static void
@@ -306,7 +312,7 @@
   static ev_signal on_term;
   static ev_signal on_int;
   struct ev_loop *loop = ev_default_loop (0);
-  const char *lie = getenv ("SS_STANDIN_LIE");
+  const char *defect = getenv ("SS_STANDIN_LIE");
   int fd;
 
   if (argc < 4)
@@ -316,12 +322,13 @@
     }
   ss_server_init (&target.server, ss_clock_monotonic (),
                   argc > 4 ? argv[4] : NULL);
-  if (lie && !ss_server_set_lie (&target.server, lie))
+  if (defect && !ss_server_set_defect (&target.server, defect))
     {
-      fprintf (stderr, "ss-standin-target: no such lie: %s\n", lie);
+      fprintf (stderr, "ss-standin-target: unknown SS_STANDIN_LIE value: %s\n",
+               defect);
       return 2;
     }
-  ss_link_init (&target.link, loop, &target.server);
+  ss_log_receiver_init (&target.log_receiver, loop, &target.server);
   target.clients = g_ptr_array_new ();
   fd = ss_stream_listen (argv[2], (uint16_t) atoi (argv[3]));
   if (fd < 0)
