--- a/standin/platform.c
+++ b/standin/platform.c
@@ -134,11 +134,12 @@
 {
   for (guint i = 0; i < p->pending_requests->len;)
     {
-      PendingRequest *w = g_ptr_array_index (p->pending_requests, i);
+      PendingRequest *pending = g_ptr_array_index (p->pending_requests, i);
 
-      if (w->is_watch
-          && !g_hash_table_contains (p->partitioned_ips, w->request->client_ip)
-          && answer_watch (p, w->request, false))
+      if (pending->is_watch
+          && !g_hash_table_contains (p->partitioned_ips,
+                                     pending->request->client_ip)
+          && answer_watch (p, pending->request, false))
         g_ptr_array_remove_index_fast (p->pending_requests, i);
       else
         i++;
@@ -199,12 +200,12 @@
 static void
 postpone_request (Platform *p, SsHttpRequest *r, int64_t wait_ms, bool is_watch)
 {
-  PendingRequest *w = g_new0 (PendingRequest, 1);
+  PendingRequest *pending = g_new0 (PendingRequest, 1);
 
-  w->request = r;
-  w->due_s = ev_now (p->loop) + (double) wait_ms / 1000.0;
-  w->is_watch = is_watch;
-  g_ptr_array_add (p->pending_requests, w);
+  pending->request = r;
+  pending->due_s = ev_now (p->loop) + (double) wait_ms / 1000.0;
+  pending->is_watch = is_watch;
+  g_ptr_array_add (p->pending_requests, pending);
 }
 
 static void
@@ -303,9 +304,9 @@
 
   for (guint i = 0; i < p->pending_requests->len; i++)
     {
-      PendingRequest *w = g_ptr_array_index (p->pending_requests, i);
+      PendingRequest *pending = g_ptr_array_index (p->pending_requests, i);
 
-      if (w->request != r)
+      if (pending->request != r)
         continue;
       g_ptr_array_remove_index_fast (p->pending_requests, i);
       return;
--- a/standin/server.c
+++ b/standin/server.c
@@ -100,7 +100,7 @@
     return false;
   if (server->role == SS_ROLE_PRIMARY)
     return true;
-  /* Another server is the primary of this term. */
+  /* The server follows another primary of this term. */
   if (server->follow_term == term)
     return false;
   server->role = SS_ROLE_PRIMARY;
@@ -160,7 +160,9 @@
                     const uint64_t *terms, const char *const *payloads,
                     uint32_t count)
 {
-  /* Not the primary of the followed term. */
+  /* The server that responded is not the primary of the followed term.  This is
+   * no response of the primary, so heard_ms stays.
+   */
   if (strcmp (outcome, "refused") == 0)
     return;
   server->heard_ms = ss_server_now_ms (server);
--- a/standin/server.h
+++ b/standin/server.h
@@ -24,8 +24,8 @@
   X (TERM, "term")       /* remains primary after a later term */              \
   X (COMMIT, "commit")   /* ignores BEGIN and COMMIT */                        \
   X (REQUEST, "request") /* accepts a duplicate idempotency key */             \
-  X (REFUSAL, "refusal") /* reports executed commits as failed, retryable */   \
-  X (CHECK, "check")     /* reports executed commits as failed, permanent */   \
+  X (REFUSAL, "refusal") /* 40001 (retryable) for some executed commits */     \
+  X (CHECK, "check")     /* 23514 (permanent) for some executed commits */     \
   X (ANSWER, "answer")   /* returns some wrong values */
 
 typedef enum
