--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* sapphirectl: the operators' command line. */
+/* sapphirectl: the operators' command-line tool. */
 #include <curl/curl.h>
 #include <glib.h>
 #include <jansson.h>
@@ -13,8 +13,8 @@
 #define DEFAULT_ADDRESS "127.0.0.1:7200"
 #define CALL_TIMEOUT_MS 15000L
 #define CONNECT_TIMEOUT_MS 1000L
-#define WAIT_STEP_US 300000
-#define WAIT_BOUND_S 60
+#define WAIT_POLL_US 300000
+#define WAIT_TIMEOUT_S 60
 
 /* Exit codes. */
 typedef enum
@@ -29,14 +29,14 @@
 static char **addresses;
 static char *token;
 static gboolean as_json;
-static gboolean waits;
+static gboolean wait_until_done;
 
 typedef struct
 {
-  bool sent; /* the request may have reached a vm */
+  bool sent; /* the request may have reached a VM */
   long status;
   json_t *body;
-} Answer;
+} Response;
 
 static size_t
 append_text (char *data, size_t size, size_t count, void *user)
@@ -46,7 +46,7 @@
 }
 
 static void
-call (const char *address, const char *command, Answer *answer)
+post_command (const char *address, const char *command, Response *response)
 {
   CURL *easy = curl_easy_init ();
   GString *text = g_string_new (NULL);
@@ -65,11 +65,11 @@
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, append_text);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, text);
   code = curl_easy_perform (easy);
-  answer->sent = code != CURLE_COULDNT_CONNECT;
-  answer->status = 0;
+  response->sent = code != CURLE_COULDNT_CONNECT;
+  response->status = 0;
   if (code == CURLE_OK)
-    curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &answer->status);
-  answer->body = json_loads (text->str, 0, NULL);
+    curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &response->status);
+  response->body = json_loads (text->str, 0, NULL);
   curl_slist_free_all (headers);
   curl_easy_cleanup (easy);
   g_string_free (text, TRUE);
@@ -161,19 +161,19 @@
 }
 
 static void
-print_answer (const Answer *a)
+print_response (const Response *r)
 {
-  json_t *rows = json_object_get (a->body, "rows");
-  json_t *silent = json_object_get (a->body, "silent_vms");
+  json_t *rows = json_object_get (r->body, "rows");
+  json_t *silent = json_object_get (r->body, "silent_vms");
   const char *message
-      = json_string_value (json_object_get (a->body, "message"));
-  json_t *version = json_object_get (a->body, "version");
+      = json_string_value (json_object_get (r->body, "message"));
+  json_t *version = json_object_get (r->body, "version");
   json_t *vm;
   size_t i;
 
   if (as_json)
     {
-      json_dumpf (a->body, stdout, JSON_COMPACT);
+      json_dumpf (r->body, stdout, JSON_COMPACT);
       putchar ('\n');
       return;
     }
@@ -183,66 +183,66 @@
     puts ("(no rows)");
   json_array_foreach (silent, i, vm)
   {
-    printf ("no answer from vm %s\n", json_string_value (vm));
+    printf ("no response from vm %s\n", json_string_value (vm));
   }
   if (!message)
     return;
   if (version)
     printf ("%s: %s (version %" JSON_INTEGER_FORMAT ")\n",
-            json_string_value (json_object_get (a->body, "verdict")), message,
+            json_string_value (json_object_get (r->body, "verdict")), message,
             json_integer_value (version));
   else
     puts (message);
 }
 
 static ExitCode
-exit_code (const Answer *a)
+exit_code (const Response *r)
 {
-  if (!a->sent)
+  if (!r->sent)
     return EXIT_NO_ANSWER;
-  if (a->status == 200)
+  if (r->status == 200)
     return EXIT_DONE;
-  if (a->status == 409)
+  if (r->status == 409)
     return EXIT_REFUSED;
   return EXIT_MAY_HAVE_RUN;
 }
 
-/* Tries the addresses in turn; the next one only where the command can't
- * have reached a vm.
+/* Tries the addresses in order.  It goes on to the next one only if the command
+ * can't have reached a VM, so that no command runs twice.
  */
 static ExitCode
-run_once (const char *command, Answer *answer)
+run_once (const char *command, Response *response)
 {
   ExitCode code = EXIT_NO_ANSWER;
 
-  answer->body = NULL;
+  response->body = NULL;
   for (uint32_t i = 0; addresses[i] && code == EXIT_NO_ANSWER; i++)
     {
-      call (addresses[i], command, answer);
-      code = exit_code (answer);
+      post_command (addresses[i], command, response);
+      code = exit_code (response);
     }
   return code;
 }
 
-/* The question whose answer shows that COMMAND is done; NULL: none. */
+/* Returns the query that shows COMMAND's progress, or NULL. */
 static char *
-progress_question (const char *command)
+progress_query (const char *command)
 {
   char **words = g_strsplit (command, " ", 4);
-  char *question = NULL;
+  char *query = NULL;
 
   if (g_strv_length (words) == 3 && strcmp (words[0], "drain") == 0)
-    question = g_strdup_printf ("show targets where name = '%s'", words[2]);
+    query = g_strdup_printf ("show targets where name = '%s'", words[2]);
   if (g_strv_length (words) == 3 && strcmp (words[0], "stop") == 0)
-    question = g_strdup_printf ("show vms where vm = '%s'", words[2]);
+    query = g_strdup_printf ("show vms where vm = '%s'", words[2]);
   g_strfreev (words);
-  return question;
+  return query;
 }
 
 static bool
-is_finished (const Answer *a)
+is_finished (const Response *r)
 {
-  json_t *row = json_array_get (json_object_get (a->body, "rows"), 0);
+  json_t *row = json_array_get (json_object_get (r->body, "rows"), 0);
 
   if (!row)
     return true;
@@ -254,43 +254,44 @@
 static ExitCode
 wait_for (const char *command)
 {
-  char *question = progress_question (command);
-  int64_t due_us = g_get_monotonic_time () + WAIT_BOUND_S * G_USEC_PER_SEC;
+  char *query = progress_query (command);
+  int64_t deadline_us
+      = g_get_monotonic_time () + WAIT_TIMEOUT_S * G_USEC_PER_SEC;
   ExitCode code = EXIT_DONE;
-  bool done = question == NULL;
+  bool done = query == NULL;
 
-  while (!done && g_get_monotonic_time () < due_us)
+  while (!done && g_get_monotonic_time () < deadline_us)
     {
-      Answer a;
+      Response r;
 
-      g_usleep (WAIT_STEP_US);
-      code = run_once (question, &a);
+      g_usleep (WAIT_POLL_US);
+      code = run_once (query, &r);
       if (code == EXIT_DONE)
         {
-          print_answer (&a);
-          done = is_finished (&a);
+          print_response (&r);
+          done = is_finished (&r);
         }
-      json_decref (a.body);
+      json_decref (r.body);
     }
-  g_free (question);
+  g_free (query);
   return done ? EXIT_DONE : EXIT_MAY_HAVE_RUN;
 }
 
 static ExitCode
 run_command (const char *command)
 {
-  Answer a;
-  ExitCode code = run_once (command, &a);
+  Response r;
+  ExitCode code = run_once (command, &r);
 
-  if (a.body)
-    print_answer (&a);
+  if (r.body)
+    print_response (&r);
   else if (code == EXIT_NO_ANSWER)
     fprintf (stderr, "sapphirectl: no vm answers\n");
   else
-    fprintf (stderr, "sapphirectl: the answer was lost; the command may "
+    fprintf (stderr, "sapphirectl: the response was lost; the command may "
                      "have run\n");
-  json_decref (a.body);
-  if (code == EXIT_DONE && waits)
+  json_decref (r.body);
+  if (code == EXIT_DONE && wait_until_done)
     code = wait_for (command);
   return code;
 }
@@ -343,7 +344,7 @@
 int
 main (int argc, char **argv)
 {
-  static char *fallback[] = { (char *) DEFAULT_ADDRESS, NULL };
+  static char *default_addresses[] = { (char *) DEFAULT_ADDRESS, NULL };
   static char *command;
   static char *format;
   static char *token_file;
@@ -356,15 +357,15 @@
     { "format", 'f', 0, G_OPTION_ARG_STRING, &format, "table or json",
       "FORMAT" },
     { "token-file", 't', 0, G_OPTION_ARG_FILENAME, &token_file,
-      "File with the bearer token that changes need", "FILE" },
-    { "wait", 'w', 0, G_OPTION_ARG_NONE, &waits,
+      "File with the bearer token required for changes", "FILE" },
+    { "wait", 'w', 0, G_OPTION_ARG_NONE, &wait_until_done,
       "Show a drain's or stop's progress until it is done", NULL },
     { "version", 'V', 0, G_OPTION_ARG_NONE, &version, "Show the version",
       NULL },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
   GOptionContext *context
-      = g_option_context_new ("- questions and orders to sapphirestair");
+      = g_option_context_new ("- query and administer sapphirestair");
   GError *error = NULL;
   ExitCode code = EXIT_USAGE;
 
@@ -390,7 +391,7 @@
   if (!read_token (token_file))
     goto done;
   if (!addresses)
-    addresses = g_strdupv (fallback);
+    addresses = g_strdupv (default_addresses);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   code = command ? run_command (command) : run_lines ();
   curl_global_cleanup ();
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* sapphirestaird: the daemon of one entry vm. */
+/* sapphirestaird: the daemon of one entry VM. */
 #include <glib.h>
 #include <signal.h>
 #include <stdio.h>
@@ -7,9 +7,9 @@
 #include "kernel/plugin.h"
 
 #define VERSION "0.2.0"
-/* How often the settings are looked at for a change. */
-#define SETTINGS_LOOK_S 1.0
-#define SETTINGS_VARIABLE "SAPPHIRESTAIR_SETTINGS"
+/* Interval at which the settings file is checked for changes. */
+#define SETTINGS_POLL_S 1.0
+#define SETTINGS_ENV_VAR "SAPPHIRESTAIR_SETTINGS"
 
 static void
 on_stop_signal (struct ev_loop *loop, ev_signal *w, int events)
@@ -21,14 +21,14 @@
   ss_shell_event (w->data, &e);
 }
 
-/* Settings are read again on SIGHUP, and when their content changes. */
+/* Reloads the settings on SIGHUP and when the content of the file changes. */
 typedef struct
 {
   SsShell *shell;
   const char *path;
   guint hash;
   ev_signal on_hup;
-  ev_timer look;
+  ev_timer poll;
 } Reload;
 
 static guint
@@ -56,7 +56,7 @@
 }
 
 static void
-on_look (struct ev_loop *loop, ev_timer *w, int events)
+on_poll_timer (struct ev_loop *loop, ev_timer *w, int events)
 {
   Reload *r = w->data;
   guint hash = hash_file (r->path);
@@ -78,12 +78,12 @@
   ev_signal_init (&r->on_hup, on_hup_signal, SIGHUP);
   r->on_hup.data = r;
   ev_signal_start (shell->loop, &r->on_hup);
-  ev_timer_init (&r->look, on_look, SETTINGS_LOOK_S, SETTINGS_LOOK_S);
-  r->look.data = r;
-  ev_timer_start (shell->loop, &r->look);
+  ev_timer_init (&r->poll, on_poll_timer, SETTINGS_POLL_S, SETTINGS_POLL_S);
+  r->poll.data = r;
+  ev_timer_start (shell->loop, &r->poll);
 }
 
-/* Every caller takes a descriptor: use all that the system allows. */
+/* Each caller needs a file descriptor: allow as many as the system permits. */
 static void
 raise_descriptor_limit (void)
 {
@@ -167,13 +167,13 @@
       goto done;
     }
   if (!config && !check_config)
-    config = g_strdup (g_getenv (SETTINGS_VARIABLE));
+    config = g_strdup (g_getenv (SETTINGS_ENV_VAR));
   if (!config && !check_config)
     {
       fprintf (stderr,
                "sapphirestaird: --config FILE or %s is needed; see "
                "--help\n",
-               SETTINGS_VARIABLE);
+               SETTINGS_ENV_VAR);
       goto done;
     }
   error = ss_settings_init (&settings, check_config ? check_config : config);
--- a/src/kernel/callers.c
+++ b/src/kernel/callers.c
@@ -2,9 +2,9 @@
 
 #include <errno.h>
 
-#define SWEEP_S 1.0
-/* For the other side to take the last answer and end the connection. */
-#define CLOSING_MS 2000
+#define SWEEP_INTERVAL_S 1.0
+/* Time for the peer to read the last response and close the connection. */
+#define CLOSE_TIMEOUT_MS 2000
 
 static int64_t
 now_ms (const SsCaller *c)
@@ -13,14 +13,14 @@
 }
 
 static bool
-core_knows (const SsCaller *c)
+is_known_to_core (const SsCaller *c)
 {
   return c->state == SS_CALLER_OPENING || c->state == SS_CALLER_IDLE
          || c->state == SS_CALLER_BUSY;
 }
 
 static void
-tell_core_closed (SsCallers *callers, uint64_t id)
+notify_core_closed (SsCallers *callers, uint64_t id)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_CLOSE, .caller = { id } };
 
@@ -46,7 +46,7 @@
 ss_caller_answered (SsCaller *c)
 {
   ss_stream_flush (&c->stream);
-  ss_stream_feed (&c->stream);
+  ss_stream_schedule_input (&c->stream);
 }
 
 void
@@ -62,11 +62,11 @@
 {
   SsCallers *callers = c->callers;
   uint64_t id = c->id;
-  bool known = core_knows (c);
+  bool known = is_known_to_core (c);
 
   ss_caller_close (c);
   if (known)
-    tell_core_closed (callers, id);
+    notify_core_closed (callers, id);
 }
 
 void
@@ -82,17 +82,17 @@
 {
   SsCallers *callers = c->callers;
   uint64_t id = c->id;
-  bool known = core_knows (c);
+  bool known = is_known_to_core (c);
 
   ss_caller_free (c);
   if (known)
-    tell_core_closed (callers, id);
+    notify_core_closed (callers, id);
 }
 
 /* --- input --- */
 
 static void
-take_messages (SsCaller *c)
+process_messages (SsCaller *c)
 {
   const SsCallersClass *klass = c->callers->klass;
 
@@ -121,7 +121,7 @@
   SsCaller *c = (SsCaller *) stream;
 
   c->active_ms = now_ms (c);
-  take_messages (c);
+  process_messages (c);
 }
 
 static void
@@ -130,10 +130,10 @@
   ss_caller_drop ((SsCaller *) stream);
 }
 
-/* --- all of them --- */
+/* --- accepting and timeouts --- */
 
 static void
-accept_one (SsCallers *callers, int fd)
+accept_caller (SsCallers *callers, int fd)
 {
   static const SsStreamClass klass = { on_input, on_closed, NULL };
   SsCaller *c = g_malloc0 (callers->klass->caller_bytes);
@@ -156,11 +156,11 @@
   (void) loop;
   (void) events;
   while ((fd = ss_stream_accept (w->fd, NULL)) >= 0)
-    accept_one (w->data, fd);
+    accept_caller (w->data, fd);
 }
 
 static bool
-is_overdue (const SsCaller *c, int64_t age_ms)
+has_timed_out (const SsCaller *c, int64_t age_ms)
 {
   const SsSettings *s = c->callers->shell->settings;
 
@@ -169,13 +169,13 @@
 }
 
 static void
-sweep_one (SsCaller *c)
+sweep_caller (SsCaller *c)
 {
   int64_t age_ms = now_ms (c) - c->active_ms;
 
-  if (c->state == SS_CALLER_CLOSING && age_ms >= CLOSING_MS)
+  if (c->state == SS_CALLER_CLOSING && age_ms >= CLOSE_TIMEOUT_MS)
     ss_caller_free (c);
-  else if (is_overdue (c, age_ms))
+  else if (has_timed_out (c, age_ms))
     c->callers->klass->on_overdue (c);
 }
 
@@ -187,9 +187,9 @@
 
   (void) loop;
   (void) events;
-  /* Each ends only itself. */
+  /* A step frees no caller but its own, so the list stays valid. */
   for (GList *l = all; l; l = l->next)
-    sweep_one (l->data);
+    sweep_caller (l->data);
   g_list_free (all);
 }
 
@@ -209,7 +209,7 @@
   ev_io_init (&callers->accept_io, on_accept, fd, EV_READ);
   callers->accept_io.data = callers;
   ev_io_start (shell->loop, &callers->accept_io);
-  ev_timer_init (&callers->sweep, on_sweep, SWEEP_S, SWEEP_S);
+  ev_timer_init (&callers->sweep, on_sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S);
   callers->sweep.data = callers;
   ev_timer_start (shell->loop, &callers->sweep);
   return NULL;
--- a/src/kernel/callers.h
+++ b/src/kernel/callers.h
@@ -1,7 +1,7 @@
-/* callers: the connections of callers, whatever protocol they speak.
+/* callers: the connections of callers, independent of their protocol.
  *
- * Accepts them, tells the core of those that go, and ends those that rest for
- * too long.  What they say and are told is the plug-in's.
+ * Accepts connections, notifies the core when one closes, and ends those that
+ * exceed a timeout.  The plug-in parses requests and writes responses.
  */
 #ifndef SS_CALLERS_H
 #define SS_CALLERS_H
@@ -11,8 +11,8 @@
 
 typedef enum
 {
-  SS_CALLER_STARTING, /* what it wants to use is due */
-  SS_CALLER_OPENING,  /* the core decides on it */
+  SS_CALLER_STARTING, /* its start-up message is expected */
+  SS_CALLER_OPENING,  /* the core decides whether to admit it */
   SS_CALLER_IDLE,
   SS_CALLER_BUSY,
   SS_CALLER_CLOSING
@@ -20,29 +20,29 @@
 
 typedef struct SsCallers SsCallers;
 
-/* The first member of a plug-in's caller; freed with g_free. */
+/* Base of a plug-in's caller, as its first member; freed with g_free. */
 typedef struct
 {
-  SsStream stream; /* first: callbacks cast back */
+  SsStream stream; /* must be first: callbacks cast it to SsCaller */
   SsCallers *callers;
   uint64_t id;
   SsCallerState state;
-  char status; /* of its transaction: I, T or E */
+  char status; /* transaction status: I, T or E */
   int64_t active_ms;
 } SsCaller;
 
 typedef struct
 {
-  uint32_t caller_bytes;
-  /* More input that is not taken than this stops reading. */
+  uint32_t caller_bytes; /* size of the plug-in's caller */
+  /* Reading pauses while more unprocessed input than this is buffered. */
   uint32_t pending_input_max_bytes;
-  /* Takes one message of the input, of a caller that is starting or idle;
-   * returns the bytes used, 0: no message is whole.
+  /* Processes one message of the input; CALLER is starting or idle.  Returns
+   * the bytes consumed, or 0 if no message is complete.
    */
   uint32_t (*take_message) (SsCaller *caller);
-  /* Optional: a new caller, before its first message. */
+  /* Optional: called for a new caller before its first message. */
   void (*on_accept) (SsCaller *caller);
-  /* Ends a caller that rested for too long. */
+  /* Ends a caller that exceeded the start-up or idle timeout. */
   void (*on_overdue) (SsCaller *caller);
 } SsCallersClass;
 
@@ -56,29 +56,37 @@
   uint64_t next_id;
 };
 
-/* ss_callers_init: listens where the settings say; returns NULL or what went
- * wrong, to be freed by the caller.
+/* ss_callers_init: listens on vm.ip and vm.caller_port; returns NULL on
+ * success, else an error message to be freed with g_free.
  */
 char *ss_callers_init (SsCallers *callers, const SsCallersClass *klass,
                        SsShell *shell);
-/* ss_callers_finish: closes all; does nothing where init failed. */
+/* ss_callers_finish: closes all connections; does nothing if init failed. */
 void ss_callers_finish (SsCallers *callers);
+/* ss_callers_find: returns NULL if no caller has ID. */
 SsCaller *ss_callers_find (const SsCallers *callers, uint64_t id);
-/* ss_callers_is_over: whether there are more than the settings allow. */
+/* ss_callers_is_over: returns whether there are more callers than callers.max
+ * allows.
+ */
 bool ss_callers_is_over (const SsCallers *callers);
 
+/* ss_caller_output: returns the output buffer to append to. */
 GByteArray *ss_caller_output (SsCaller *caller);
-/* ss_caller_rest: CALLER was answered and may send the next statement. */
+/* ss_caller_rest: marks CALLER idle; it may send its next statement. */
 void ss_caller_rest (SsCaller *caller);
-/* ss_caller_answered: sends what was written and takes what came meanwhile. */
+/* ss_caller_answered: flushes the output and schedules processing of the input
+ * that arrived meanwhile.
+ */
 void ss_caller_answered (SsCaller *caller);
-/* ss_caller_close: ends the connection after what was written. */
+/* ss_caller_close: closes the connection once the output is sent. */
 void ss_caller_close (SsCaller *caller);
-/* ss_caller_end: the same, and tells the core. */
+/* ss_caller_end: like ss_caller_close, and notifies the core. */
 void ss_caller_end (SsCaller *caller);
-/* ss_caller_free: drops the connection; the core knows. */
+/* ss_caller_free: closes the connection at once and frees CALLER; doesn't
+ * notify the core.
+ */
 void ss_caller_free (SsCaller *caller);
-/* ss_caller_drop: drops the connection and tells the core. */
+/* ss_caller_drop: like ss_caller_free, and notifies the core. */
 void ss_caller_drop (SsCaller *caller);
 
 #endif
--- a/src/kernel/clock.h
+++ b/src/kernel/clock.h
@@ -1,10 +1,10 @@
-/* clock: the one source of time, in milliseconds.
+/* clock: the only source of time, in milliseconds.
  *
- * It also counts the time that the machine was suspended: what it measures
- * proves ages, and an age must not come out too low.
+ * The clock also advances while the machine is suspended: the core uses it to
+ * prove the age of data, and an age must not be underestimated.
  *
- * A clock is a vtable in the first member, so a test hands in a clock of its
- * own.
+ * A clock is a vtable as the first member of a struct, so that tests can supply
+ * their own.
  */
 #ifndef SS_CLOCK_H
 #define SS_CLOCK_H
@@ -15,11 +15,11 @@
 
 struct SsClock
 {
-  /* Returns time that never goes back, in milliseconds; never fails. */
+  /* Returns monotonic time in milliseconds; never fails. */
   int64_t (*now_ms) (const SsClock *clock);
 };
 
-/* ss_clock_monotonic: a clock that reads the system's time since boot. */
+/* ss_clock_monotonic: returns a clock that reads the time since boot. */
 const SsClock *ss_clock_monotonic (void);
 
 static inline int64_t
--- a/src/kernel/counters.h
+++ b/src/kernel/counters.h
@@ -1,6 +1,6 @@
-/* counters: monotonic counters of one vm, named in one table.
+/* counters: monotonic counters of one VM, defined in one table.
  *
- * They are shown at /metrics with the prefix sapphirestair_ and the suffix
+ * They are exported at /metrics with the prefix sapphirestair_ and the suffix
  * _total.
  */
 #ifndef SS_COUNTERS_H
@@ -45,7 +45,7 @@
   uint64_t values[SS_COUNTER_COUNT];
 } SsCounters;
 
-/* ss_counter_name, ss_counter_help: static strings. */
+/* ss_counter_name, ss_counter_help: return static strings. */
 const char *ss_counter_name (SsCounterId id);
 const char *ss_counter_help (SsCounterId id);
 
--- a/src/kernel/httpc.c
+++ b/src/kernel/httpc.c
@@ -5,16 +5,18 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* A connection that stays silent for so long is dead: probes find it. */
+/* A connection whose peer doesn't respond for this long counts as broken;
+ * keep-alive probes detect it while it is idle.
+ */
 #define KEEPALIVE_IDLE_S 1L
 #define KEEPALIVE_INTERVAL_S 1L
-#define SILENT_TIMEOUT_MS 2500U
+#define USER_TIMEOUT_MS 2500U
 
 typedef struct
 {
   ev_io io;
   SsHttpc *client;
-} Socket;
+} SocketWatcher;
 
 static void
 free_call (SsHttpCall *call)
@@ -51,7 +53,7 @@
 }
 
 static void
-collect_finished (SsHttpc *client)
+handle_finished (SsHttpc *client)
 {
   CURLMsg *message;
   int left;
@@ -69,12 +71,12 @@
     }
 }
 
-/* --- the loop --- */
+/* --- libev integration --- */
 
 static void
 on_io (struct ev_loop *loop, ev_io *w, int events)
 {
-  SsHttpc *client = ((Socket *) w->data)->client;
+  SsHttpc *client = ((SocketWatcher *) w->data)->client;
   int flags = 0;
   int running;
 
@@ -84,7 +86,7 @@
   if (events & EV_WRITE)
     flags |= CURL_CSELECT_OUT;
   curl_multi_socket_action (client->multi, w->fd, flags, &running);
-  collect_finished (client);
+  handle_finished (client);
 }
 
 static void
@@ -96,7 +98,7 @@
   (void) loop;
   (void) events;
   curl_multi_socket_action (client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-  collect_finished (client);
+  handle_finished (client);
 }
 
 static int
@@ -117,7 +119,7 @@
 set_socket (CURL *easy, curl_socket_t fd, int what, void *data, void *known)
 {
   SsHttpc *client = data;
-  Socket *s = known;
+  SocketWatcher *s = known;
   int events = 0;
 
   (void) easy;
@@ -130,7 +132,7 @@
     }
   if (!s)
     {
-      s = g_new0 (Socket, 1);
+      s = g_new0 (SocketWatcher, 1);
       s->client = client;
       ev_io_init (&s->io, on_io, fd, EV_READ);
       s->io.data = s;
@@ -147,11 +149,11 @@
 }
 
 static size_t
-take_answer (char *data, size_t size, size_t count, void *user)
+append_response (char *data, size_t size, size_t count, void *user)
 {
   SsHttpCall *call = user;
 
-  if (call->answer->len + size * count > SS_HTTPC_ANSWER_MAX_BYTES)
+  if (call->answer->len + size * count > SS_HTTPC_RESPONSE_MAX_BYTES)
     return 0;
   g_byte_array_append (call->answer, (const uint8_t *) data,
                        (guint) (size * count));
@@ -159,9 +161,9 @@
 }
 
 static int
-bound_silence (void *data, curl_socket_t fd, curlsocktype purpose)
+set_user_timeout (void *data, curl_socket_t fd, curlsocktype purpose)
 {
-  unsigned int timeout_ms = SILENT_TIMEOUT_MS;
+  unsigned int timeout_ms = USER_TIMEOUT_MS;
 
   (void) data;
   (void) purpose;
@@ -189,9 +191,9 @@
   call->answer = g_byte_array_new ();
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_PRIVATE, call);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, take_answer);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, append_response);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, call);
-  curl_easy_setopt (easy, CURLOPT_SOCKOPTFUNCTION, bound_silence);
+  curl_easy_setopt (easy, CURLOPT_SOCKOPTFUNCTION, set_user_timeout);
   curl_easy_setopt (easy, CURLOPT_TCP_KEEPALIVE, 1L);
   curl_easy_setopt (easy, CURLOPT_TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
   curl_easy_setopt (easy, CURLOPT_TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
@@ -218,7 +220,7 @@
   free_call (call);
 }
 
-/* --- life --- */
+/* --- set-up and tear-down --- */
 
 bool
 ss_httpc_init (SsHttpc *client, struct ev_loop *loop, const char *source_ip)
--- a/src/kernel/httpc.h
+++ b/src/kernel/httpc.h
@@ -1,4 +1,4 @@
-/* httpc: an HTTP client of libcurl on a libev loop. */
+/* httpc: an HTTP client, libcurl on a libev loop. */
 #ifndef SS_HTTPC_H
 #define SS_HTTPC_H
 
@@ -8,28 +8,32 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SS_HTTPC_ANSWER_MAX_BYTES (64U * 1024 * 1024)
+#define SS_HTTPC_RESPONSE_MAX_BYTES (64U * 1024 * 1024)
 
 typedef struct
 {
   struct ev_loop *loop;
   CURLM *multi;
   ev_timer timer;
-  GHashTable *calls;     /* set of SsHttpCall: those under way */
+  GHashTable *calls;     /* set of the active SsHttpCalls */
   const char *source_ip; /* borrowed; NULL: any */
 } SsHttpc;
 
-/* How a call ended: where there is no answer, whether it may have been sent. */
+/* How a call ended: with a response, before the request was sent, or after the
+ * request may have been sent.
+ */
 typedef enum
 {
   SS_HTTP_ANSWERED,
   SS_HTTP_NOT_SENT,
   SS_HTTP_UNKNOWN
-} SsHttpEnd;
+} SsHttpResult;
 
 typedef struct SsHttpCall SsHttpCall;
 
-/* The first member of a call; it is freed with g_free after on_done. */
+/* Base of a call, as the first member of the user's struct; freed with g_free
+ * after on_done.
+ */
 struct SsHttpCall
 {
   SsHttpc *client;
@@ -37,26 +41,31 @@
   struct curl_slist *headers;
   GByteArray *answer;
   char *body;
-  SsHttpEnd end;
-  int32_t status; /* 0 where there is no answer */
+  SsHttpResult end;
+  int32_t status; /* HTTP status; 0: no response */
   void (*on_done) (SsHttpCall *call);
-  /* Optional: frees what is the call's own beside its memory. */
+  /* Optional: frees what the members of the user's struct own. */
   void (*on_free) (SsHttpCall *call);
 };
 
-/* ss_httpc_init: returns false where the library can't be started. */
+/* ss_httpc_init: returns false if libcurl can't be initialised; SOURCE_IP is
+ * borrowed.
+ */
 bool ss_httpc_init (SsHttpc *client, struct ev_loop *loop,
                     const char *source_ip);
-/* ss_httpc_finish: ends all calls without on_done. */
+/* ss_httpc_finish: cancels all calls without on_done; does nothing if init
+ * failed.
+ */
 void ss_httpc_finish (SsHttpc *client);
 
-/* ss_http_header: adds a line to the headers of CALL before its start. */
+/* ss_http_call_header: adds a header line to CALL before its start. */
 void ss_http_call_header (SsHttpCall *call, const char *line);
-/* ss_http_call_start: sends METHOD to URL with call->body (owned; NULL: none).
+/* ss_http_call_start: sends a METHOD request to URL with call->body (owned by
+ * CALL; NULL: no body).
  */
 void ss_http_call_start (SsHttpc *client, SsHttpCall *call, const char *method,
                          const char *url, int32_t timeout_ms);
-/* ss_http_call_cancel: ends CALL without on_done and frees it. */
+/* ss_http_call_cancel: aborts CALL without on_done and frees it. */
 void ss_http_call_cancel (SsHttpCall *call);
 
 #endif
--- a/src/kernel/httpd.c
+++ b/src/kernel/httpd.c
@@ -181,7 +181,9 @@
     return;
   request->suspended = false;
   MHD_resume_connection (request->connection);
-  /* Run from the loop: the handler may stand on the daemon's stack. */
+  /* MHD_run must not be re-entered, and the handler may have been called from
+   * it: run it from the loop.
+   */
   ev_timer_stop (h->loop, &h->timer);
   ev_timer_set (&h->timer, 0, 0);
   ev_timer_start (h->loop, &h->timer);
--- a/src/kernel/httpd.h
+++ b/src/kernel/httpd.h
@@ -1,4 +1,4 @@
-/* httpd: an HTTP server of libmicrohttpd on a libev loop.
+/* httpd: an HTTP server, libmicrohttpd on a libev loop.
  *
  * Shared by the administration API and by the platform stand-in.
  */
@@ -18,9 +18,9 @@
 
 typedef struct
 {
-  /* Answers with ss_http_reply, now or later. */
+  /* Handles REQUEST; calls ss_http_reply during the call or later. */
   void (*handle) (SsHttpd *httpd, SsHttpRequest *request);
-  /* Optional: the client went away before its answer. */
+  /* Optional: the connection ended before the reply. */
   void (*on_gone) (SsHttpd *httpd, SsHttpRequest *request);
 } SsHttpdClass;
 
@@ -41,29 +41,32 @@
   char *path;
   GByteArray *body;
   char client_ip[INET_ADDRSTRLEN];
-  int32_t reply_status; /* 0: close the connection with no answer */
+  int32_t reply_status; /* 0: close the connection without a reply */
   char *reply_body;
   const char *reply_type;
   bool replied;
   bool suspended;
-  void *data; /* the handler's own */
+  void *data; /* for use by the handler */
 };
 
-/* ss_httpd_init: listens on IP and PORT; returns false where it can't. */
+/* ss_httpd_init: listens on IP and PORT; returns false on failure. */
 bool ss_httpd_init (SsHttpd *httpd, const SsHttpdClass *klass,
                     struct ev_loop *loop, const char *ip, uint16_t port);
 void ss_httpd_finish (SsHttpd *httpd);
 
-/* ss_http_reply: answers REQUEST; STATUS 0 closes the connection with no
- * answer.  TYPE is a static string.
+/* ss_http_reply: replies to REQUEST; STATUS 0 closes the connection without a
+ * reply.  TYPE is a static string.
  */
 void ss_http_reply (SsHttpRequest *request, int32_t status, const char *type,
                     const char *body);
 
-/* ss_http_query: a query argument or NULL; ss_http_header likewise. */
+/* ss_http_query, ss_http_header: return a query argument or a header, or NULL.
+ */
 const char *ss_http_query (SsHttpRequest *request, const char *name);
 const char *ss_http_header (SsHttpRequest *request, const char *name);
-/* ss_http_query_number: FALLBACK where it is absent. */
+/* ss_http_query_number: returns FALLBACK if the argument is absent, 0 if it is
+ * not a number.
+ */
 int64_t ss_http_query_number (SsHttpRequest *request, const char *name,
                               int64_t fallback);
 
--- a/src/kernel/log.c
+++ b/src/kernel/log.c
@@ -63,14 +63,14 @@
 }
 
 static bool
-is_wanted (const SsLog *log, SsLogEvent event)
+is_enabled (const SsLog *log, SsLogEvent event)
 {
   if (event == SS_EVENT_LOG_SPAN && log->spans)
     return true;
   return event_rows[event].level >= log->min_level;
 }
 
-/* A line that is cut short would spoil the next: it is ended first. */
+/* A partially written line is terminated, so that the next line stays valid. */
 static void
 write_line (SsLog *log, const char *text)
 {
@@ -93,10 +93,10 @@
   char time_text[48];
   json_t *line;
   char *text;
-  char *whole;
+  char *line_text;
   va_list args;
 
-  if (!is_wanted (log, event))
+  if (!is_enabled (log, event))
     return;
   line = json_object ();
   format_time (time_text, sizeof time_text);
@@ -114,10 +114,10 @@
     json_object_set_new (line, "dropped",
                          json_integer ((json_int_t) log->dropped));
   text = json_dumps (line, JSON_COMPACT);
-  whole = malloc (strlen (text) + 2);
-  sprintf (whole, "%s\n", text);
-  write_line (log, whole);
-  free (whole);
+  line_text = malloc (strlen (text) + 2);
+  sprintf (line_text, "%s\n", text);
+  write_line (log, line_text);
+  free (line_text);
   free (text);
   json_decref (line);
 }
--- a/src/kernel/log.h
+++ b/src/kernel/log.h
@@ -1,10 +1,10 @@
-/* log: structured log lines, one JSON object a line on standard output.
+/* log: structured logging, one JSON object per line on standard output.
  *
- * Writing never blocks: a line that the reader has no room for is dropped, and
- * the next one that is written says how many were.
+ * Writing never blocks: a line that the pipe has no room for is dropped, and
+ * the next line written has the number of dropped lines in its field "dropped".
  *
- * Every event has a number and a name from one table; docs/EVENTS.md is
- * checked against it.
+ * Each event has a number and a name in one table; docs/EVENTS.md is checked
+ * against it.
  */
 #ifndef SS_LOG_H
 #define SS_LOG_H
@@ -29,42 +29,44 @@
 /* X (id, number, level, text) */
 #define SS_LOG_EVENTS(X)                                                       \
   X (STARTED, 100, INFO, "daemon started")                                     \
-  X (STOPPING, 101, INFO, "planned stop begun")                                \
+  X (STOPPING, 101, INFO, "graceful shutdown started")                         \
   X (STOPPED, 102, INFO, "daemon stopped")                                     \
-  X (READY, 103, INFO, "configuration in force, serving callers")              \
+  X (READY, 103, INFO, "configuration active, serving callers")                \
   X (PAUSED, 104, WARNING, "this vm was paused")                               \
-  X (RELOADED, 105, INFO, "settings read again")                               \
-  X (RELOAD_REFUSED, 106, ERROR, "changed settings are invalid; kept the old") \
+  X (RELOADED, 105, INFO, "settings reloaded")                                 \
+  X (RELOAD_REFUSED, 106, ERROR,                                               \
+     "changed settings are invalid; the previous settings stay in use")        \
   X (CONFIG_ADOPTED, 200, INFO, "configuration object adopted")                \
   X (CONFIG_INVALID, 201, ERROR, "configuration object refused")               \
   X (PLATFORM_DOWN, 210, WARNING, "platform does not answer")                  \
   X (PLATFORM_UP, 211, INFO, "platform answers again")                         \
-  X (PLATFORM_CALL, 212, DEBUG, "call on the platform ended")                  \
-  X (VM_LOST, 300, WARNING, "vm counted as dead")                              \
-  X (VM_FOUND, 301, INFO, "vm counted as live")                                \
-  X (ISOLATED, 304, WARNING, "cut off from most vms and the platform")         \
-  X (REJOINED, 305, INFO, "no longer cut off")                                 \
+  X (PLATFORM_CALL, 212, DEBUG, "platform call ended")                         \
+  X (VM_LOST, 300, WARNING, "vm considered dead")                              \
+  X (VM_FOUND, 301, INFO, "vm considered live")                                \
+  X (ISOLATED, 304, WARNING, "isolated from most vms and the platform")        \
+  X (REJOINED, 305, INFO, "no longer isolated")                                \
   X (PEER_CLOSED, 302, INFO, "peer connection closed")                         \
   X (PEER_INVALID, 303, ERROR, "peer sent an invalid message")                 \
   X (TARGET_UP, 400, INFO, "target answers")                                   \
   X (TARGET_DOWN, 401, WARNING, "target does not answer")                      \
   X (TARGET_TERM, 402, INFO, "target changed role or term")                    \
-  X (UNHELD, 404, WARNING, "commits are not held by a majority")               \
-  X (HELD, 405, INFO, "commits are held again")                                \
+  X (UNHELD, 404, WARNING, "commits are not replicated to a majority")         \
+  X (HELD, 405, INFO, "commits are replicated to a majority again")            \
   X (TARGET_INVALID, 403, ERROR, "target sent an invalid message")             \
-  X (SUSPECT, 500, WARNING, "primary suspected")                               \
+  X (SUSPECT, 500, WARNING, "primary suspected of failure")                    \
   X (PROMOTION_STARTED, 501, WARNING, "promotion started")                     \
   X (PROMOTION_RAISED, 502, INFO, "term raised on a majority")                 \
-  X (PROMOTION_DONE, 503, INFO, "primary chosen")                              \
-  X (PROMOTION_FAILED, 504, WARNING, "promotion given up")                     \
+  X (PROMOTION_DONE, 503, INFO, "promotion completed")                         \
+  X (PROMOTION_FAILED, 504, WARNING, "promotion abandoned")                    \
   X (PROMOTION_CALLED, 505, WARNING, "platform asked to promote a server")     \
-  X (PRIMARY_FOUND, 506, INFO, "servers follow a primary that is not named")   \
+  X (PRIMARY_FOUND, 506, INFO,                                                 \
+     "servers follow a primary other than the configured one")                 \
   X (CALLER_REFUSED, 600, WARNING, "caller refused")                           \
   X (REQUEST_RAN, 601, INFO, "request answered")                               \
-  X (REQUEST_NOT_RUN, 602, INFO, "request refused as not run")                 \
+  X (REQUEST_NOT_RUN, 602, INFO, "request refused without being run")          \
   X (REQUEST_IN_DOUBT, 603, WARNING, "request may have run")                   \
-  X (REQUEST_RETRIED, 604, INFO, "request tried again inside")                 \
-  X (REQUEST_WAITS, 605, INFO, "request waits")                                \
+  X (REQUEST_RETRIED, 604, INFO, "request retried internally")                 \
+  X (REQUEST_WAITS, 605, INFO, "request waits for a primary")                  \
   X (SPAN, 700, DEBUG, "span")
 
 typedef enum
@@ -80,23 +82,25 @@
   const char *vm;
   SsLogLevel min_level;
   bool spans;       /* write SPAN events whatever the level */
-  uint64_t dropped; /* lines since the last one that was written */
+  uint64_t dropped; /* lines dropped since the last line written */
 } SsLog;
 
-/* ss_log_init: prepares a logger; VM is borrowed and must outlive it. */
+/* ss_log_init: initialises LOG and makes standard output non-blocking; VM is
+ * borrowed and must outlive LOG.
+ */
 void ss_log_init (SsLog *log, const char *vm, SsLogLevel min_level, bool spans);
 
-/* ss_log_write: writes EVENT with pairs of field name and text, ended by
- * NULL.  Lines below the minimum level are dropped.
+/* ss_log_write: writes EVENT with pairs of field name and text, terminated by
+ * NULL.  Events below the minimum level are not written.
  */
 void ss_log_write (SsLog *log, SsLogEvent event, ...)
     __attribute__ ((sentinel));
 
-/* ss_log_level_parse: returns false where NAME is no level. */
+/* ss_log_level_parse: returns false if NAME is not a level. */
 bool ss_log_level_parse (const char *name, SsLogLevel *level);
 
 /* ss_log_event_number, ss_log_event_name, ss_log_event_text,
- * ss_log_event_level: the catalogue's columns.
+ * ss_log_event_level: return the columns of the event table.
  */
 int32_t ss_log_event_number (SsLogEvent event);
 const char *ss_log_event_name (SsLogEvent event);
--- a/src/kernel/outcome.c
+++ b/src/kernel/outcome.c
@@ -14,7 +14,7 @@
     case 204:
       return SS_PLATFORM_DONE;
     case 404:
-    case 410: /* the history that a watch asked for */
+    case 410: /* the revisions requested by a watch are no longer kept */
       return SS_PLATFORM_ABSENT;
     case 409:
       return SS_PLATFORM_CONFLICT;
--- a/src/kernel/plugin.c
+++ b/src/kernel/plugin.c
@@ -3,8 +3,10 @@
 #include <string.h>
 
 #define TICK_MIN_S 0.001
-/* Of the time until a stop is forced: the rest is for the last answers. */
-#define GRACE_SHARE 0.75
+/* Share of vm.grace_s that bounds a graceful shutdown; the rest is left for the
+ * last responses.
+ */
+#define SHUTDOWN_GRACE_SHARE 0.75
 
 static const SsPlugin *plugins[SS_PLUGINS_MAX];
 static uint32_t plugin_count;
@@ -28,7 +30,7 @@
 }
 
 static bool
-runs (const SsShell *shell, const SsPlugin *plugin)
+is_enabled (const SsShell *shell, const SsPlugin *plugin)
 {
   return plugin->interface == SS_INTERFACE_ANY
          || plugin->interface == shell->interface;
@@ -55,12 +57,12 @@
       return;
     }
   for (uint32_t i = 0; i < plugin_count; i++)
-    if (runs (shell, plugins[i]) && plugins[i]->handles & (1U << a->kind))
+    if (is_enabled (shell, plugins[i]) && plugins[i]->handles & (1U << a->kind))
       plugins[i]->on_action (shell, a);
 }
 
-/* A plug-in may hand in an event while it carries out an action: the inner
- * call then takes the remaining actions, in their order.
+/* A plug-in may pass an event while it carries out an action: the nested call
+ * then carries out the remaining actions in order.
  */
 void
 ss_shell_event (SsShell *shell, const SsEvent *event)
@@ -126,7 +128,7 @@
   if (settings->grace_s > 0)
     params->stop_bound_ms
         = MIN (params->stop_bound_ms,
-               (int64_t) (settings->grace_s * GRACE_SHARE * 1000));
+               (int64_t) (settings->grace_s * SHUTDOWN_GRACE_SHARE * 1000));
   params->spans = settings->log_spans != 0;
   params->apply_ms = settings->apply_ms;
   params->drain_ms = settings->drain_ms;
@@ -150,7 +152,7 @@
   ss_interface_parse (settings->interface, &shell->interface);
   fill_params (&params, settings, g_random_int ());
   for (uint32_t i = 0; i < plugin_count; i++)
-    if (runs (shell, plugins[i]) && plugins[i]->prepare)
+    if (is_enabled (shell, plugins[i]) && plugins[i]->prepare)
       plugins[i]->prepare (settings, &params);
   ss_node_init (&shell->node, &params, ss_clock_now_ms (clock));
   ev_timer_init (&shell->tick, on_tick, 0, 0);
@@ -159,20 +161,20 @@
   shell->prepare.data = shell;
   ev_prepare_start (loop, &shell->prepare);
   for (uint32_t i = 0; i < plugin_count && !error; i++)
-    if (runs (shell, plugins[i]))
+    if (is_enabled (shell, plugins[i]))
       error = plugins[i]->init (shell);
   return error;
 }
 
-/* The core and the plug-ins borrow strings of the settings that they began
- * with: these stay until the end.
+/* The core and the plug-ins may borrow strings from any settings that were in
+ * use, so all of them are kept until ss_shell_finish.
  */
 static void
-retire (SsShell *shell, SsSettings *settings)
+keep_settings (SsShell *shell, SsSettings *settings)
 {
-  if (!shell->retired)
-    shell->retired = g_ptr_array_new ();
-  g_ptr_array_add (shell->retired, settings);
+  if (!shell->reloaded_settings)
+    shell->reloaded_settings = g_ptr_array_new ();
+  g_ptr_array_add (shell->reloaded_settings, settings);
 }
 
 void
@@ -182,7 +184,7 @@
   SsLogLevel level = SS_LOG_INFO;
   char *error = ss_settings_init (settings, path);
 
-  retire (shell, settings);
+  keep_settings (shell, settings);
   if (error)
     {
       ss_log_write (&shell->log, SS_EVENT_LOG_RELOAD_REFUSED, "subject", path,
@@ -202,18 +204,19 @@
 ss_shell_finish (SsShell *shell)
 {
   for (uint32_t i = plugin_count; i > 0; i--)
-    if (runs (shell, plugins[i - 1]))
+    if (is_enabled (shell, plugins[i - 1]))
       plugins[i - 1]->finish (shell);
   ev_prepare_stop (shell->loop, &shell->prepare);
   ev_timer_stop (shell->loop, &shell->tick);
   ss_node_finish (&shell->node);
-  for (guint i = 0; shell->retired && i < shell->retired->len; i++)
+  for (guint i = 0;
+       shell->reloaded_settings && i < shell->reloaded_settings->len; i++)
     {
-      SsSettings *settings = g_ptr_array_index (shell->retired, i);
+      SsSettings *settings = g_ptr_array_index (shell->reloaded_settings, i);
 
       ss_settings_finish (settings);
       g_free (settings);
     }
-  if (shell->retired)
-    g_ptr_array_free (shell->retired, TRUE);
+  if (shell->reloaded_settings)
+    g_ptr_array_free (shell->reloaded_settings, TRUE);
 }
--- a/src/kernel/plugin.h
+++ b/src/kernel/plugin.h
@@ -1,7 +1,7 @@
-/* plugin: the daemon's kernel and the plug-ins that register themselves.
+/* plugin: the daemon's runtime and the registry of plug-ins.
  *
- * The shell hands events to the decision core and the core's actions to the
- * plug-ins; it decides nothing.
+ * The runtime passes events to the core and the core's actions to the plug-ins;
+ * all decisions are the core's.
  */
 #ifndef SS_PLUGIN_H
 #define SS_PLUGIN_H
@@ -17,7 +17,7 @@
 
 typedef struct SsShell SsShell;
 
-/* What callers and targets speak; a plug-in of one runs only with it. */
+/* Protocol of callers and targets; a plug-in for one runs only with it. */
 typedef enum
 {
   SS_INTERFACE_ANY,
@@ -29,10 +29,10 @@
 {
   const char *name;
   SsInterface interface;
-  uint32_t handles; /* bit by SsActionKind */
-  /* Optional: changes the core's parameters before it starts. */
+  uint32_t handles; /* set of SS_HANDLES bits */
+  /* Optional: adjusts the core's parameters before it starts. */
   void (*prepare) (const SsSettings *settings, SsNodeParams *params);
-  /* Returns NULL, or what went wrong; freed by the caller. */
+  /* Returns NULL on success, else an error message to be freed with g_free. */
   char *(*init) (SsShell *shell);
   void (*finish) (SsShell *shell);
   void (*on_action) (SsShell *shell, SsAction *action);
@@ -48,16 +48,16 @@
   ev_timer tick;
   ev_prepare prepare;
   SsInterface interface;
-  GPtrArray *retired; /* settings that were read again; NULL: none */
+  GPtrArray *reloaded_settings; /* settings read by reloads; NULL: none */
   int32_t exit_code;
 };
 
 #define SS_HANDLES(kind) (1U << SS_ACTION_##kind)
 
-/* ss_interface_parse: returns false where NAME is none. */
+/* ss_interface_parse: returns false if NAME is not an interface. */
 bool ss_interface_parse (const char *name, SsInterface *interface);
 
-/* ss_plugin_register: PLUGIN is static. */
+/* ss_plugin_register: PLUGIN must be static. */
 void ss_plugin_register (const SsPlugin *plugin);
 
 /* SS_PLUGIN_REGISTER: registers a plug-in before main runs. */
@@ -67,18 +67,19 @@
     ss_plugin_register (&(plugin));                                            \
   }
 
-/* ss_shell_init: starts every plug-in; returns NULL or what went wrong, to be
- * freed by the caller.
+/* ss_shell_init: starts the core and the plug-ins; returns NULL on success,
+ * else an error message to be freed with g_free.  ss_shell_finish is due in
+ * either case.
  */
 char *ss_shell_init (SsShell *shell, struct ev_loop *loop, const SsClock *clock,
                      const SsSettings *settings);
 void ss_shell_finish (SsShell *shell);
-/* ss_shell_reload: reads the settings at PATH again; what can change while
- * the daemon runs is in force at once.  Invalid ones are logged and left.
+/* ss_shell_reload: reloads the settings from PATH.  Settings that can change at
+ * run time take effect at once; invalid settings are logged and ignored.
  */
 void ss_shell_reload (SsShell *shell, const char *path);
 
-/* ss_shell_event: hands EVENT to the core and carries out its actions. */
+/* ss_shell_event: passes EVENT to the core and carries out its actions. */
 void ss_shell_event (SsShell *shell, const SsEvent *event);
 
 #endif
--- a/src/kernel/settings.c
+++ b/src/kernel/settings.c
@@ -87,8 +87,8 @@
 }
 
 static char *
-take_string (SsSettings *s, const StringRow *row, const char *path,
-             const SsTomlEntry *e)
+set_string (SsSettings *s, const StringRow *row, const char *path,
+            const SsTomlEntry *e)
 {
   char **field = string_field (s, row);
 
@@ -104,16 +104,16 @@
 }
 
 static char *
-take_integer (SsSettings *s, const IntegerRow *row, const char *path,
-              const SsTomlEntry *e)
+set_integer (SsSettings *s, const IntegerRow *row, const char *path,
+             const SsTomlEntry *e)
 {
   bool is_flag = row->lowest == 0 && row->highest == 1;
   SsTomlType wanted = is_flag ? SS_TOML_BOOLEAN : SS_TOML_INTEGER;
   int64_t number = e->number;
-  bool is_whole = e->type == SS_TOML_FLOAT && !is_flag
-                  && e->real == (double) (int64_t) e->real;
+  bool is_integral = e->type == SS_TOML_FLOAT && !is_flag
+                     && e->real == (double) (int64_t) e->real;
 
-  if (is_whole)
+  if (is_integral)
     number = (int64_t) e->real;
   else if (e->type != wanted)
     return g_strdup_printf ("%s:%u: %s must be %s", path, e->line, e->key,
@@ -127,8 +127,8 @@
 }
 
 static char *
-take_real (SsSettings *s, const RealRow *row, const char *path,
-           const SsTomlEntry *e)
+set_real (SsSettings *s, const RealRow *row, const char *path,
+          const SsTomlEntry *e)
 {
   if ((e->type != SS_TOML_FLOAT && e->type != SS_TOML_INTEGER)
       || !(e->real >= row->lowest && e->real <= row->highest))
@@ -139,17 +139,17 @@
 }
 
 static char *
-take_entry (SsSettings *s, const char *path, const SsTomlEntry *e)
+set_entry (SsSettings *s, const char *path, const SsTomlEntry *e)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (string_rows); i++)
     if (strcmp (string_rows[i].key, e->key) == 0)
-      return take_string (s, &string_rows[i], path, e);
+      return set_string (s, &string_rows[i], path, e);
   for (size_t i = 0; i < G_N_ELEMENTS (integer_rows); i++)
     if (strcmp (integer_rows[i].key, e->key) == 0)
-      return take_integer (s, &integer_rows[i], path, e);
+      return set_integer (s, &integer_rows[i], path, e);
   for (size_t i = 0; i < G_N_ELEMENTS (real_rows); i++)
     if (strcmp (real_rows[i].key, e->key) == 0)
-      return take_real (s, &real_rows[i], path, e);
+      return set_real (s, &real_rows[i], path, e);
   return g_strdup_printf ("%s:%u: unknown key %s; docs/SETTINGS.md lists "
                           "the allowed keys",
                           path, e->line, e->key);
@@ -184,10 +184,10 @@
   return ok;
 }
 
-/* An address in one setting takes the place of the two for its parts. */
+/* A combined IP:PORT setting overrides the separate settings. */
 static char *
-take_address (const char *path, const char *key, const char *at, char **ip,
-              int64_t *number)
+override_address (const char *path, const char *key, const char *at, char **ip,
+                  int64_t *number)
 {
   char text[INET_ADDRSTRLEN];
   uint16_t port;
@@ -208,19 +208,19 @@
 }
 
 static char *
-take_addresses (SsSettings *s, const char *path)
+check_addresses (SsSettings *s, const char *path)
 {
-  char *error = take_address (path, "vm.callers_at", s->callers_at, NULL,
-                              &s->caller_port);
+  char *error = override_address (path, "vm.callers_at", s->callers_at, NULL,
+                                  &s->caller_port);
 
   if (!error)
-    error = take_address (path, "platform.at", s->platform_at, &s->platform_ip,
-                          &s->platform_port);
+    error = override_address (path, "platform.at", s->platform_at,
+                              &s->platform_ip, &s->platform_port);
   if (!error)
-    error = take_address (path, "vm.ready_at", s->ready_at, NULL, NULL);
+    error = override_address (path, "vm.ready_at", s->ready_at, NULL, NULL);
   if (!error)
-    error = take_address (path, "platform.promotions_at", s->promotions_at,
-                          NULL, NULL);
+    error = override_address (path, "platform.promotions_at", s->promotions_at,
+                              NULL, NULL);
   if (!error && !s->caller_port)
     error = g_strdup_printf ("%s: vm.caller_port is missing", path);
   if (!error && !*s->platform_ip)
@@ -236,7 +236,7 @@
 }
 
 static char *
-check_whole (SsSettings *s, const char *path)
+check_settings (SsSettings *s, const char *path)
 {
   SsLogLevel level;
   char *error;
@@ -244,7 +244,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (string_rows); i++)
     if (!*string_field (s, &string_rows[i]))
       return g_strdup_printf ("%s: %s is missing", path, string_rows[i].key);
-  error = take_addresses (s, path);
+  error = check_addresses (s, path);
   if (error)
     return error;
   for (size_t i = 0; i < G_N_ELEMENTS (integer_rows); i++)
@@ -274,9 +274,9 @@
       goto done;
     }
   for (size_t i = 0; i < file.count && !error; i++)
-    error = take_entry (settings, path, &file.entries[i]);
+    error = set_entry (settings, path, &file.entries[i]);
   if (!error)
-    error = check_whole (settings, path);
+    error = check_settings (settings, path);
 done:
   ss_toml_finish (&file);
   return error;
--- a/src/kernel/settings.h
+++ b/src/kernel/settings.h
@@ -1,6 +1,7 @@
-/* settings: what a vm must know by itself, from a TOML file.
+/* settings: the local settings of a VM, read from a TOML file.
  *
- * Everything else (services, targets, staleness) comes from the platform.
+ * All other configuration (services, targets, staleness) comes from the
+ * platform.
  */
 #ifndef SS_SETTINGS_H
 #define SS_SETTINGS_H
@@ -11,7 +12,7 @@
 #include "core/pace.h"
 #include "kernel/log.h"
 
-/* X (field, key, default or NULL where it must be given) */
+/* X (field, key, default (NULL: required)) */
 #define SS_SETTINGS_STRINGS(X)                                                 \
   X (vm_name, "vm.name", NULL)                                                 \
   X (failure_domain, "vm.failure_domain", NULL)                                \
@@ -27,7 +28,7 @@
   X (promotions_at, "platform.promotions_at", "")                              \
   X (log_level, "log.level", "info")
 
-/* X (field, key, default (-1: must be given), lowest, highest) */
+/* X (field, key, default (-1: required), lowest, highest) */
 #define SS_SETTINGS_INTEGERS(X)                                                \
   X (caller_port, "vm.caller_port", 0, 1, 65535)                               \
   X (peer_port, "vm.peer_port", -1, 1, 65535)                                  \
@@ -44,7 +45,7 @@
   X (stop_bound_ms, "vm.stop_bound_ms", 10000, 100, 600000)                    \
   X (log_spans, "log.spans", 0, 0, 1)
 
-/* X (field, key, default, lowest, highest): numbers that may have a fraction */
+/* X (field, key, default, lowest, highest): floating-point numbers */
 #define SS_SETTINGS_REALS(X) X (grace_s, "vm.grace_s", 0.0, 0.0, 3600.0)
 
 typedef struct
@@ -63,16 +64,16 @@
 #undef X
 } SsSettings;
 
-/* ss_settings_split: IP:PORT; IP of at least INET_ADDRSTRLEN bytes.  Returns
- * false where AT is neither.
+/* ss_settings_split: parses AT, which is IP:PORT; IP has at least
+ * INET_ADDRSTRLEN bytes.  Returns false if AT is malformed.
  */
 bool ss_settings_split (const char *at, char *ip, uint16_t *port);
 
-/* ss_settings_init: reads and checks PATH.
+/* ss_settings_init: reads and validates PATH.
  *
- * Returns NULL on success, else a message with file, line, key and what is
- * allowed, to be freed by the caller.  ss_settings_finish is due in either
- * case.
+ * Returns NULL on success, else an error message to be freed with g_free, which
+ * names the file, the line, the key and the allowed values.  ss_settings_finish
+ * is due in either case.
  */
 char *ss_settings_init (SsSettings *settings, const char *path);
 void ss_settings_finish (SsSettings *settings);
--- a/src/kernel/stream.c
+++ b/src/kernel/stream.c
@@ -10,14 +10,14 @@
 
 #define READ_CHUNK_BYTES 65536
 #define LISTEN_BACKLOG 1024
-/* An own connection without an answer for so long counts as broken: less than
- * a statement's usual time-outs and a round trip's resends, more than a burst
- * of lost packets.
+/* An outgoing connection whose peer doesn't respond for this long counts as
+ * broken.  The bound is shorter than the usual statement timeouts and than the
+ * retransmissions of a round trip, and longer than a burst of packet loss.
  */
-#define SILENT_IDLE_S 2
-#define SILENT_INTERVAL_S 1
-#define SILENT_PROBES 2
-#define SILENT_TIMEOUT_MS 2500U
+#define KEEPALIVE_IDLE_S 2
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 2
+#define USER_TIMEOUT_MS 2500U
 
 static void
 update_interest (SsStream *s)
@@ -42,7 +42,7 @@
   return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
 }
 
-/* Returns false where the connection is broken. */
+/* Returns false if the connection is broken. */
 static bool
 send_output (SsStream *s)
 {
@@ -127,7 +127,7 @@
       s->klass->on_closed (s);
       return;
     }
-  if (s->discards)
+  if (s->discard_input)
     ss_stream_consume (s, UINT32_MAX);
   else if (s->input)
     s->klass->on_input (s);
@@ -164,8 +164,8 @@
   return stream->output;
 }
 
-/* A broken connection is reported by the loop, never from here, so a caller
- * may go on using the stream after a flush.
+/* Ignores errors: the loop reports a broken connection, so the stream stays
+ * valid after a flush.
  */
 void
 ss_stream_flush (SsStream *stream)
@@ -193,8 +193,10 @@
 ss_stream_close_when_sent (SsStream *stream)
 {
   stream->close_when_sent = true;
-  stream->discards = true;
-  /* An empty buffer keeps the write watcher on, so the loop closes it. */
+  stream->discard_input = true;
+  /* An empty buffer keeps the write watcher active, so the loop shuts the
+   * socket down.
+   */
   ss_stream_output (stream);
   update_interest (stream);
 }
@@ -207,7 +209,7 @@
 }
 
 void
-ss_stream_feed (SsStream *stream)
+ss_stream_schedule_input (SsStream *stream)
 {
   if (stream->input)
     ev_feed_event (stream->loop, &stream->io, EV_CUSTOM);
@@ -236,15 +238,15 @@
   return fd;
 }
 
-/* A connection that went silent for good is found by probes. */
+/* Detects dead connections by keep-alive probes and TCP_USER_TIMEOUT. */
 static void
-bound_silence (int fd)
+set_keepalive (int fd)
 {
   int one = 1;
-  int idle_s = SILENT_IDLE_S;
-  int interval_s = SILENT_INTERVAL_S;
-  int probes = SILENT_PROBES;
-  unsigned int timeout_ms = SILENT_TIMEOUT_MS;
+  int idle_s = KEEPALIVE_IDLE_S;
+  int interval_s = KEEPALIVE_INTERVAL_S;
+  int probes = KEEPALIVE_PROBES;
+  unsigned int timeout_ms = USER_TIMEOUT_MS;
 
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof one);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
@@ -284,7 +286,7 @@
 
   if (fd < 0)
     return -1;
-  bound_silence (fd);
+  set_keepalive (fd);
   if (source_ip)
     {
       if (!fill_address (&address, source_ip, 0))
--- a/src/kernel/toml_shim.h
+++ b/src/kernel/toml_shim.h
@@ -1,7 +1,7 @@
-/* toml_shim: a C face on the TOML library.
+/* toml_shim: a C interface to the TOML library.
  *
- * A file is flattened to entries "table.key" with their type, text and line,
- * so that the settings module can check them by name.
+ * A file is flattened to entries "table.key" with their type, value and line,
+ * so that the settings module can look them up by name.
  */
 #ifndef SS_TOML_SHIM_H
 #define SS_TOML_SHIM_H
@@ -40,8 +40,8 @@
     char *error; /* NULL on success: file, line and cause */
   } SsTomlFile;
 
-  /* ss_toml_read: reads PATH; on failure FILE->error is set.  The caller ends
-   * with ss_toml_finish in either case.
+  /* ss_toml_read: reads PATH; on failure FILE->error is set.  ss_toml_finish is
+   * due in either case.
    */
   void ss_toml_read (SsTomlFile *file, const char *path);
   void ss_toml_finish (SsTomlFile *file);
--- a/src/kernel/verdict.h
+++ b/src/kernel/verdict.h
@@ -1,6 +1,6 @@
-/* verdict: says whether a request may have run, and why it was not answered.
+/* verdict: whether a request may have run, and the reason if it failed.
  *
- * A verdict of SS_VERDICT_NOT_RUN is given only where it can be proved.
+ * SS_VERDICT_NOT_RUN is given only if it is proven that the request didn't run.
  */
 #ifndef SS_VERDICT_H
 #define SS_VERDICT_H
@@ -22,17 +22,19 @@
 /* X (id, name, SQLSTATE, message) */
 #define SS_REASONS(X)                                                          \
   X (NONE, "none", "00000", "success")                                         \
-  X (TARGET_ERROR, "target_error", "XX000", "the target refused it")           \
+  X (TARGET_ERROR, "target_error", "XX000",                                    \
+     "the target rejected the statement")                                      \
   X (NO_SERVICE, "no_service", "3D000", "no such database service")            \
   X (NO_PRIMARY, "no_primary", "57P03", "no primary is serving")               \
   X (NO_REPLICA, "no_replica", "57P03", "no target is fresh enough")           \
   X (NO_MARK, "no_mark", "57P03", "the primary's position is not confirmed")   \
-  X (NO_CONFIG, "no_config", "57P03", "no configuration is in force yet")      \
+  X (NO_CONFIG, "no_config", "57P03", "no configuration is active yet")        \
   X (NOT_OWNER, "not_owner", "57P03", "this vm does not own the target")       \
   X (NO_MAJORITY, "no_majority", "57P03",                                      \
-     "no majority of the servers takes commits")                               \
+     "commits are not replicated to a majority of the servers")                \
   X (DRAINING, "draining", "57P03", "the target is draining")                  \
-  X (BEHIND, "behind", "57P03", "the target is behind the session's floor")    \
+  X (BEHIND, "behind", "57P03",                                                \
+     "the target is behind the session's minimum position")                    \
   X (OVERLOAD, "overload", "53000", "the target's queue is full")              \
   X (CONNECT, "connect", "08001", "no connection to the target")               \
   X (DEADLINE, "deadline", "57014", "the deadline passed")                     \
@@ -41,11 +43,13 @@
   X (VM_LOST, "vm_lost", "08006", "the owner vm was lost")                     \
   X (SUPERSEDED, "superseded", "40003", "the primary was superseded")          \
   X (NOT_HELD, "not_held", "40003", "no majority confirmed the commit")        \
-  X (STILL_RUNNING, "still_running", "40003", "the first try still runs")      \
+  X (STILL_RUNNING, "still_running", "40003",                                  \
+     "the first attempt is still running")                                     \
   X (TRANSACTION_LOST, "transaction_lost", "25P02", "the transaction is lost") \
   X (TRANSACTION_FAILED, "transaction_failed", "25P02",                        \
      "the transaction failed; it can only be ended")                           \
-  X (BAD_STATEMENT, "bad_statement", "42601", "no such statement here")        \
+  X (BAD_STATEMENT, "bad_statement", "42601",                                  \
+     "the statement is not valid here")                                        \
   X (UNPREPARED, "unprepared", "26000", "no such prepared statement")          \
   X (STOPPING, "stopping", "57P01", "this vm is stopping")                     \
   X (BAD_SETTING, "bad_setting", "22023", "invalid session setting")           \
@@ -58,10 +62,11 @@
 #undef SS_REASON_ENUM
 } SsReason;
 
-/* ss_verdict_name: the name used in logs, details and reports. */
+/* ss_verdict_name: returns the name used in logs, error details and reports. */
 const char *ss_verdict_name (SsVerdict verdict);
 
-/* ss_reason_name, ss_reason_sqlstate, ss_reason_message: static strings. */
+/* ss_reason_name, ss_reason_sqlstate, ss_reason_message: return static strings.
+ */
 const char *ss_reason_name (SsReason reason);
 const char *ss_reason_sqlstate (SsReason reason);
 const char *ss_reason_message (SsReason reason);
