--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -183,7 +183,7 @@
     puts ("(no rows)");
   json_array_foreach (silent, i, vm)
   {
-    printf ("no response from vm %s\n", json_string_value (vm));
+    printf ("no answer from vm %s\n", json_string_value (vm));
   }
   if (!message)
     return;
@@ -288,7 +288,7 @@
   else if (code == EXIT_NO_ANSWER)
     fprintf (stderr, "sapphirectl: no vm answers\n");
   else
-    fprintf (stderr, "sapphirectl: the response was lost; the command may "
+    fprintf (stderr, "sapphirectl: the answer was lost; the command may "
                      "have run\n");
   json_decref (r.body);
   if (code == EXIT_DONE && wait_until_done)
