--- a/src/kernel/links.c
+++ b/src/kernel/links.c
@@ -72,7 +72,9 @@
   ss_shell_event (shell, event);
 }
 
-/* The core may use the link while it takes the answer, which is kept aside. */
+/* The core may send the next query while it handles this result, so the
+ * response is moved out of the connection first.
+ */
 void
 ss_link_result (SsTargetLink *link, SsTargetResult *result)
 {
