--- a/bench/deploy.c
+++ b/bench/deploy.c
@@ -9,11 +9,11 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define READY_BOUND_MS 15000
-#define STEP_US 10000
-#define TARGET_IP_BASE 100
-#define PLATFORM_IP 200
-#define ADVERTISED_IP_BASE 50
+#define READY_TIMEOUT_MS 15000
+#define POLL_INTERVAL_US 10000
+#define FIRST_TARGET_HOST 100
+#define PLATFORM_HOST 200
+#define FIRST_ADVERTISED_HOST 50
 
 static int64_t
 now_ms (void)
@@ -29,18 +29,18 @@
   memset (deploy, 0, sizeof *deploy);
   deploy->programs = g_strdup (programs);
   deploy->directory = g_dir_make_tmp ("sapphirestair-XXXXXX", NULL);
-  g_snprintf (deploy->network, sizeof deploy->network, "127.%u.%u",
+  g_snprintf (deploy->ip_prefix, sizeof deploy->ip_prefix, "127.%u.%u",
               20 + (pid >> 8) % 200, pid & 0xff);
   g_strlcpy (deploy->service, "claims", sizeof deploy->service);
   g_strlcpy (deploy->group, "claims-db", sizeof deploy->group);
   deploy->max_connections = 20;
   deploy->identity = "none";
-  deploy->lookup_staleness_ms = 30000;
+  deploy->report_staleness_ms = 30000;
   curl_global_init (CURL_GLOBAL_DEFAULT);
 }
 
 static void
-die_with_parent (gpointer data)
+set_parent_death_signal (gpointer data)
 {
   (void) data;
   prctl (PR_SET_PDEATHSIG, SIGKILL);
@@ -53,21 +53,21 @@
   char *out = g_strdup_printf ("%s/%s.out", d->directory, name);
   char *command
       = g_strdup_printf ("exec \"$0\" \"$@\" >>'%s' 2>>'%s'", out, log);
-  GPtrArray *all = g_ptr_array_new ();
+  GPtrArray *child_argv = g_ptr_array_new ();
   GPid child = 0;
   bool ok;
 
-  g_ptr_array_add (all, (gpointer) "/bin/sh");
-  g_ptr_array_add (all, (gpointer) "-c");
-  g_ptr_array_add (all, command);
+  g_ptr_array_add (child_argv, (gpointer) "/bin/sh");
+  g_ptr_array_add (child_argv, (gpointer) "-c");
+  g_ptr_array_add (child_argv, command);
   for (uint32_t i = 0; argv[i]; i++)
-    g_ptr_array_add (all, argv[i]);
-  g_ptr_array_add (all, NULL);
-  ok = g_spawn_async (NULL, (char **) all->pdata, NULL,
-                      G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent, NULL, &child,
+    g_ptr_array_add (child_argv, argv[i]);
+  g_ptr_array_add (child_argv, NULL);
+  ok = g_spawn_async (NULL, (char **) child_argv->pdata, NULL,
+                      G_SPAWN_DO_NOT_REAP_CHILD, set_parent_death_signal, NULL, &child,
                       NULL);
   *pid = child;
-  g_ptr_array_free (all, TRUE);
+  g_ptr_array_free (child_argv, TRUE);
   g_free (command);
   g_free (out);
   g_free (log);
@@ -75,7 +75,7 @@
 }
 
 static void
-end_process (SsDeployed *p)
+kill_process (SsDeployProcess *p)
 {
   if (!p->pid)
     return;
@@ -85,7 +85,7 @@
 }
 
 void
-ss_deploy_signal (SsDeployed *process, int number)
+ss_deploy_signal (SsDeployProcess *process, int number)
 {
   if (!process->pid)
     return;
@@ -97,12 +97,12 @@
 }
 
 bool
-ss_deploy_wait_exit (SsDeployed *process, int64_t bound_ms, int *code)
+ss_deploy_wait_exit (SsDeployProcess *process, int64_t timeout_ms, int *code)
 {
-  int64_t due_ms = now_ms () + bound_ms;
+  int64_t deadline_ms = now_ms () + timeout_ms;
   int status;
 
-  while (now_ms () < due_ms)
+  while (now_ms () < deadline_ms)
     {
       if (waitpid (process->pid, &status, WNOHANG) == process->pid)
         {
@@ -110,7 +110,7 @@
           *code = WIFEXITED (status) ? WEXITSTATUS (status) : -1;
           return true;
         }
-      g_usleep (STEP_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return false;
 }
@@ -118,15 +118,15 @@
 void
 ss_deploy_finish (SsDeploy *deploy, bool keep)
 {
-  SsDeployed load = { .pid = deploy->load };
+  SsDeployProcess load = { .pid = deploy->load };
 
-  end_process (&load);
+  kill_process (&load);
   for (uint32_t i = 0; i < deploy->vm_count; i++)
-    end_process (&deploy->vms[i]);
+    kill_process (&deploy->vms[i]);
   for (uint32_t i = 0; i < deploy->target_count; i++)
-    end_process (&deploy->targets[i]);
-  end_process (&deploy->link);
-  end_process (&deploy->platform);
+    kill_process (&deploy->targets[i]);
+  kill_process (&deploy->network);
+  kill_process (&deploy->platform);
   if (!keep)
     {
       char *argv[] = { (char *) "rm", (char *) "-rf", deploy->directory, NULL };
@@ -180,7 +180,7 @@
 }
 
 bool
-ss_deploy_platform_control (SsDeploy *deploy, const char *json)
+ss_deploy_control_platform (SsDeploy *deploy, const char *json)
 {
   char *url = platform_url (deploy, "control");
   long status = ss_deploy_http ("POST", url, json, NULL);
@@ -190,7 +190,7 @@
 }
 
 bool
-ss_deploy_put (SsDeploy *deploy, const char *key, const char *json)
+ss_deploy_put_object (SsDeploy *deploy, const char *key, const char *json)
 {
   char *path = g_strdup_printf ("v1/objects/%s", key);
   char *url = platform_url (deploy, path);
@@ -204,11 +204,11 @@
 static void
 advertised_ip (const SsDeploy *d, uint32_t vm, char *out, size_t bytes)
 {
-  g_snprintf (out, bytes, "%s.%u", d->network, ADVERTISED_IP_BASE + vm);
+  g_snprintf (out, bytes, "%s.%u", d->ip_prefix, FIRST_ADVERTISED_HOST + vm);
 }
 
 bool
-ss_deploy_list_vms (SsDeploy *deploy, int32_t leaving)
+ss_deploy_publish_vms (SsDeploy *deploy, int32_t leaving)
 {
   GString *json = g_string_new ("{\"vms\":[");
   bool ok;
@@ -226,7 +226,7 @@
           SS_DEPLOY_PEER_PORT, (int32_t) i == leaving ? "leaving" : "live");
     }
   g_string_append (json, "]}");
-  ok = ss_deploy_platform_control (deploy, json->str);
+  ok = ss_deploy_control_platform (deploy, json->str);
   g_string_free (json, TRUE);
   return ok;
 }
@@ -246,36 +246,36 @@
           "\"failure_domain\":\"%s\",\"max_connections\":%u}",
           d->group, d->targets[i].ip, SS_DEPLOY_TARGET_PORT,
           d->targets[i].failure_domain, d->max_connections);
-      ok = ss_deploy_put (d, key, json);
+      ok = ss_deploy_put_object (d, key, json);
       g_free (key);
       g_free (json);
     }
   key = g_strdup_printf ("group/%s", d->group);
   json
       = g_strdup_printf ("{\"term\":1,\"primary\":\"%s\"}", d->targets[0].name);
-  ok = ok && ss_deploy_put (d, key, json);
+  ok = ok && ss_deploy_put_object (d, key, json);
   g_free (key);
   g_free (json);
   key = g_strdup_printf ("service/%s", d->service);
   json = g_strdup_printf ("{\"group\":\"%s\",\"kinds\":{\"report\":"
                           "{\"staleness_ms\":%u}},\"identity\":\"%s\"}",
-                          d->group, d->lookup_staleness_ms, d->identity);
-  ok = ok && ss_deploy_put (d, key, json);
+                          d->group, d->report_staleness_ms, d->identity);
+  ok = ok && ss_deploy_put_object (d, key, json);
   g_free (key);
   g_free (json);
   return ok;
 }
 
 static bool
-wait_http (const char *url, long wanted, int64_t bound_ms)
+wait_http (const char *url, long expected_status, int64_t timeout_ms)
 {
-  int64_t due_ms = now_ms () + bound_ms;
+  int64_t deadline_ms = now_ms () + timeout_ms;
 
-  while (now_ms () < due_ms)
+  while (now_ms () < deadline_ms)
     {
-      if (ss_deploy_http ("GET", url, NULL, NULL) == wanted)
+      if (ss_deploy_http ("GET", url, NULL, NULL) == expected_status)
         return true;
-      g_usleep (STEP_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return false;
 }
@@ -294,7 +294,7 @@
                    port, NULL };
   char *url = platform_url (d, "v1/vms");
   bool ok = spawn (d, "platform", argv, &d->platform.pid)
-            && wait_http (url, 200, READY_BOUND_MS);
+            && wait_http (url, 200, READY_TIMEOUT_MS);
 
   g_free (argv[0]);
   g_free (port);
@@ -305,7 +305,7 @@
 bool
 ss_deploy_start_target (SsDeploy *deploy, uint32_t target)
 {
-  SsDeployed *t = &deploy->targets[target];
+  SsDeployProcess *t = &deploy->targets[target];
   char *port = g_strdup_printf ("%d", SS_DEPLOY_TARGET_PORT);
   char *data = g_strdup_printf ("%s/%s.data", deploy->directory, t->name);
   char *argv[] = { ss_deploy_program (deploy, "ss-standin-target"),
@@ -325,7 +325,7 @@
 static bool
 write_settings (SsDeploy *d, uint32_t vm, char **path)
 {
-  const SsDeployed *v = &d->vms[vm];
+  const SsDeployProcess *v = &d->vms[vm];
   char advertised[16];
   char *text;
   bool ok;
@@ -340,8 +340,8 @@
       "[peers]\nseeds = \"%s.%d:%d %s.%d:%d\"\n",
       v->name, v->failure_domain, v->ip, advertised, SS_DEPLOY_CALLER_PORT,
       SS_DEPLOY_PEER_PORT, SS_DEPLOY_ADMIN_PORT, d->platform.ip,
-      SS_DEPLOY_PLATFORM_PORT, d->directory, d->network, ADVERTISED_IP_BASE,
-      SS_DEPLOY_PEER_PORT, d->network, ADVERTISED_IP_BASE + 1,
+      SS_DEPLOY_PLATFORM_PORT, d->directory, d->ip_prefix, FIRST_ADVERTISED_HOST,
+      SS_DEPLOY_PEER_PORT, d->ip_prefix, FIRST_ADVERTISED_HOST + 1,
       SS_DEPLOY_PEER_PORT);
   *path = g_strdup_printf ("%s/%s.toml", d->directory, v->name);
   ok = g_file_set_contents (*path, text, -1, NULL);
@@ -352,7 +352,7 @@
 bool
 ss_deploy_start_vm (SsDeploy *deploy, uint32_t vm)
 {
-  SsDeployed *v = &deploy->vms[vm];
+  SsDeployProcess *v = &deploy->vms[vm];
   char *path = NULL;
   bool ok = write_settings (deploy, vm, &path);
   char *argv[] = { ss_deploy_program (deploy, "sapphirestaird"),
@@ -368,13 +368,13 @@
  * off: it tells them apart by their addresses.
  */
 static bool
-start_link (SsDeploy *d)
+start_network (SsDeploy *d)
 {
   GPtrArray *argv = g_ptr_array_new_with_free_func (g_free);
   bool ok;
 
   g_ptr_array_add (argv, ss_deploy_program (d, "ss-standin-network"));
-  g_ptr_array_add (argv, g_strdup_printf ("%s.%d", d->network, PLATFORM_IP));
+  g_ptr_array_add (argv, g_strdup_printf ("%s.%d", d->ip_prefix, PLATFORM_HOST));
   g_ptr_array_add (argv, g_strdup_printf ("%d", SS_DEPLOY_PLATFORM_PORT + 1));
   for (uint32_t i = 0; i < d->vm_count; i++)
     {
@@ -386,28 +386,28 @@
                                         d->vms[i].ip, SS_DEPLOY_PEER_PORT));
     }
   g_ptr_array_add (argv, NULL);
-  ok = spawn (d, "link", (char **) argv->pdata, &d->link.pid);
+  ok = spawn (d, "link", (char **) argv->pdata, &d->network.pid);
   g_ptr_array_free (argv, TRUE);
   return ok;
 }
 
 bool
-ss_deploy_wait_ready (SsDeploy *deploy, uint32_t vm, int64_t bound_ms)
+ss_deploy_wait_ready (SsDeploy *deploy, uint32_t vm, int64_t timeout_ms)
 {
   char *url = g_strdup_printf ("http://%s:%d/v1/health", deploy->vms[vm].ip,
                                SS_DEPLOY_ADMIN_PORT);
-  bool ok = wait_http (url, 200, bound_ms);
+  bool ok = wait_http (url, 200, timeout_ms);
 
   g_free (url);
   return ok;
 }
 
 static bool
-wait_primary (SsDeploy *d, int64_t bound_ms)
+wait_primary (SsDeploy *d, int64_t timeout_ms)
 {
-  int64_t due_ms = now_ms () + bound_ms;
+  int64_t deadline_ms = now_ms () + timeout_ms;
 
-  while (now_ms () < due_ms)
+  while (now_ms () < deadline_ms)
     {
       char *answer = ss_deploy_sql (d, 0, "", "SELECT count(*) FROM filings");
       bool ok = strcmp (answer, "0") == 0;
@@ -415,7 +415,7 @@
       g_free (answer);
       if (ok)
         return true;
-      g_usleep (STEP_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return false;
 }
@@ -431,7 +431,7 @@
 }
 
 static void
-place (SsDeploy *d, const char *domains, uint32_t vms_per_domain,
+init_processes (SsDeploy *d, const char *domains, uint32_t vms_per_domain,
        uint32_t servers)
 {
   char **names = g_strsplit (domains, ",", SS_DEPLOY_DOMAINS_MAX);
@@ -443,25 +443,25 @@
   d->target_count = MIN (servers, SS_DEPLOY_MAX);
   for (uint32_t i = 0; i < d->vm_count; i++)
     {
-      SsDeployed *v = &d->vms[i];
+      SsDeployProcess *v = &d->vms[i];
       const char *domain = d->domains[i / vms_per_domain];
 
       g_snprintf (v->name, sizeof v->name, "%s-%u", domain,
                   i % vms_per_domain + 1);
       g_strlcpy (v->failure_domain, domain, sizeof v->failure_domain);
-      g_snprintf (v->ip, sizeof v->ip, "%s.%u", d->network, 1 + i);
+      g_snprintf (v->ip, sizeof v->ip, "%s.%u", d->ip_prefix, 1 + i);
     }
   for (uint32_t i = 0; i < d->target_count; i++)
     {
-      SsDeployed *t = &d->targets[i];
+      SsDeployProcess *t = &d->targets[i];
 
       g_snprintf (t->name, sizeof t->name, "%s-%u", d->group, i + 1);
       g_strlcpy (t->failure_domain, d->domains[i % d->domain_count],
                  sizeof t->failure_domain);
-      g_snprintf (t->ip, sizeof t->ip, "%s.%u", d->network, TARGET_IP_BASE + i);
+      g_snprintf (t->ip, sizeof t->ip, "%s.%u", d->ip_prefix, FIRST_TARGET_HOST + i);
     }
-  g_snprintf (d->platform.ip, sizeof d->platform.ip, "%s.%d", d->network,
-              PLATFORM_IP);
+  g_snprintf (d->platform.ip, sizeof d->platform.ip, "%s.%d", d->ip_prefix,
+              PLATFORM_HOST);
 }
 
 bool
@@ -470,20 +470,20 @@
 {
   bool ok;
 
-  place (deploy, domains, vms_per_domain, servers);
-  ok = write_token (deploy) && start_platform (deploy) && start_link (deploy)
-       && ss_deploy_list_vms (deploy, -1) && put_configuration (deploy);
+  init_processes (deploy, domains, vms_per_domain, servers);
+  ok = write_token (deploy) && start_platform (deploy) && start_network (deploy)
+       && ss_deploy_publish_vms (deploy, -1) && put_configuration (deploy);
   for (uint32_t i = 0; ok && i < deploy->target_count; i++)
     ok = ss_deploy_start_target (deploy, i);
   for (uint32_t i = 0; ok && i < deploy->vm_count; i++)
     ok = ss_deploy_start_vm (deploy, i);
   for (uint32_t i = 0; ok && i < deploy->vm_count; i++)
-    ok = ss_deploy_wait_ready (deploy, i, READY_BOUND_MS);
-  return ok && wait_primary (deploy, READY_BOUND_MS);
+    ok = ss_deploy_wait_ready (deploy, i, READY_TIMEOUT_MS);
+  return ok && wait_primary (deploy, READY_TIMEOUT_MS);
 }
 
 static void
-add_addresses (GPtrArray *argv, const char *option, const SsDeployed *list,
+add_addresses (GPtrArray *argv, const char *option, const SsDeployProcess *list,
                uint32_t count, int port)
 {
   for (uint32_t i = 0; i < count; i++)
--- a/bench/deploy_control.c
+++ b/bench/deploy_control.c
@@ -73,7 +73,7 @@
 }
 
 bool
-ss_deploy_control (const SsDeployed *target, const char *name, int64_t value)
+ss_deploy_control_target (const SsDeployProcess *target, const char *name, int64_t value)
 {
   char *sql = g_strdup_printf (
       "SELECT sapphirestair_control('%s', %" G_GINT64_FORMAT ")", name, value);
@@ -96,10 +96,10 @@
 
   for (uint32_t i = 0; i < deploy->target_count; i++)
     {
-      const SsDeployed *t = &deploy->targets[i];
+      const SsDeployProcess *t = &deploy->targets[i];
       PGconn *pq;
       PGresult *r;
-      uint64_t shown;
+      uint64_t shown_term;
 
       if (!t->pid || t->frozen)
         continue;
@@ -109,11 +109,11 @@
       if (PQresultStatus (r) == PGRES_TUPLES_OK
           && strcmp (PQgetvalue (r, 0, 0), "primary") == 0)
         {
-          shown = g_ascii_strtoull (PQgetvalue (r, 0, 1), NULL, 10);
-          if (shown > best_term)
+          shown_term = g_ascii_strtoull (PQgetvalue (r, 0, 1), NULL, 10);
+          if (shown_term > best_term)
             {
               best = (int32_t) i;
-              best_term = shown;
+              best_term = shown_term;
             }
         }
       PQclear (r);
@@ -137,7 +137,7 @@
 }
 
 bool
-ss_deploy_link (SsDeploy *deploy, uint32_t vm, const char *json)
+ss_deploy_set_link_faults (SsDeploy *deploy, uint32_t vm, const char *json)
 {
   json_t *body = json_loads (json, 0, NULL);
   char *text;
@@ -152,13 +152,13 @@
 }
 
 bool
-ss_deploy_cut_domain (SsDeploy *deploy, const char *domain, bool cut)
+ss_deploy_partition_domain (SsDeploy *deploy, const char *domain, bool partitioned)
 {
   GString *json = g_string_new ("{\"cut_ips\":[");
   bool first = true;
   bool ok;
 
-  for (uint32_t i = 0; cut && i < deploy->vm_count; i++)
+  for (uint32_t i = 0; partitioned && i < deploy->vm_count; i++)
     {
       if (strcmp (deploy->vms[i].failure_domain, domain) != 0)
         continue;
@@ -167,11 +167,11 @@
       first = false;
     }
   g_string_append (json, "]}");
-  ok = ss_deploy_platform_control (deploy, json->str)
+  ok = ss_deploy_control_platform (deploy, json->str)
        && post_network (deploy, "/cut", json->str);
   for (uint32_t i = 0; ok && i < deploy->target_count; i++)
     if (strcmp (deploy->targets[i].failure_domain, domain) == 0)
-      ok = ss_deploy_control (&deploy->targets[i], "cut", cut);
+      ok = ss_deploy_control_target (&deploy->targets[i], "cut", partitioned);
   g_string_free (json, TRUE);
   return ok;
 }
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -6,7 +6,7 @@
 ss_ledger_init (SsLedger *ledger)
 {
   memset (ledger, 0, sizeof *ledger);
-  ledger->filings = g_ptr_array_new_with_free_func (g_free);
+  ledger->writes = g_ptr_array_new_with_free_func (g_free);
   ledger->acknowledged = g_ptr_array_new ();
   ledger->reasons
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -16,7 +16,7 @@
 void
 ss_ledger_finish (SsLedger *ledger)
 {
-  g_ptr_array_free (ledger->filings, TRUE);
+  g_ptr_array_free (ledger->writes, TRUE);
   g_ptr_array_free (ledger->acknowledged, TRUE);
   g_array_free (ledger->latencies_us, TRUE);
   g_hash_table_destroy (ledger->reasons);
@@ -29,17 +29,17 @@
 
   g_strlcpy (f->key, key, sizeof f->key);
   g_strlcpy (f->partner, partner ? partner : "", sizeof f->partner);
-  g_ptr_array_add (ledger->filings, f);
+  g_ptr_array_add (ledger->writes, f);
   return f;
 }
 
 void
-ss_ledger_acknowledge (SsLedger *ledger, SsFiling *filing, int64_t now_ms)
+ss_ledger_acknowledge (SsLedger *ledger, SsFiling *write, int64_t now_ms)
 {
-  filing->fate = SS_FATE_ACKNOWLEDGED;
-  filing->acknowledged_ms = now_ms;
+  write->fate = SS_FATE_ACKNOWLEDGED;
+  write->acknowledged_ms = now_ms;
   ledger->last_acknowledged_ms = now_ms;
-  g_ptr_array_add (ledger->acknowledged, filing);
+  g_ptr_array_add (ledger->acknowledged, write);
   if (!ledger->failing_since_ms)
     return;
   ledger->failover_gap_ms
@@ -56,7 +56,7 @@
 }
 
 void
-ss_ledger_reason (SsLedger *ledger, const char *detail)
+ss_ledger_count_reason (SsLedger *ledger, const char *detail)
 {
   const char *at = strstr (detail, "reason=");
   const char *start = at ? at + strlen ("reason=") : "other";
@@ -68,7 +68,7 @@
 }
 
 static uint32_t
-rows_of (GHashTable *counts, const char *key)
+row_count (GHashTable *counts, const char *key)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (counts, key));
 }
@@ -76,10 +76,10 @@
 void
 ss_ledger_compare (SsLedger *ledger, GHashTable *counts)
 {
-  for (guint i = 0; i < ledger->filings->len; i++)
+  for (guint i = 0; i < ledger->writes->len; i++)
     {
-      const SsFiling *f = g_ptr_array_index (ledger->filings, i);
-      uint32_t rows = rows_of (counts, f->key);
+      const SsFiling *f = g_ptr_array_index (ledger->writes, i);
+      uint32_t rows = row_count (counts, f->key);
 
       if (f->fate == SS_FATE_ACKNOWLEDGED && rows == 0)
         ledger->lost++;
@@ -87,7 +87,7 @@
         ledger->ran_though_not_run++;
       if (rows > 1)
         ledger->doubled++;
-      if (*f->partner && (rows > 0) != (rows_of (counts, f->partner) > 0))
+      if (*f->partner && (rows > 0) != (row_count (counts, f->partner) > 0))
         ledger->mixed++;
     }
 }
--- a/bench/ledger.h
+++ b/bench/ledger.h
@@ -28,11 +28,11 @@
 
 typedef struct
 {
-  GPtrArray *filings;      /* of SsFiling */
+  GPtrArray *writes;      /* of SsFiling */
   GPtrArray *acknowledged; /* in order; borrowed */
 
   uint64_t statements;
-  uint64_t acks;
+  uint64_t acknowledged_ops;
   uint64_t not_run;
   uint64_t may_have_run;
   uint64_t refused_connections;
@@ -58,12 +58,12 @@
 /* ss_ledger_add: a write with a new key; owned by the ledger. */
 SsFiling *ss_ledger_add (SsLedger *ledger, const char *key,
                          const char *partner);
-void ss_ledger_acknowledge (SsLedger *ledger, SsFiling *filing, int64_t now_ms);
+void ss_ledger_acknowledge (SsLedger *ledger, SsFiling *write, int64_t now_ms);
 /* ss_ledger_write_failed: a write sent at SENT_MS could not be accepted. */
 void ss_ledger_write_failed (SsLedger *ledger, int64_t sent_ms);
 
-/* ss_ledger_reason: counts a failure by the reason in its DETAIL. */
-void ss_ledger_reason (SsLedger *ledger, const char *detail);
+/* ss_ledger_count_reason: counts a failure by the reason in its DETAIL. */
+void ss_ledger_count_reason (SsLedger *ledger, const char *detail);
 
 /* ss_ledger_compare: COUNTS maps each key at the primary to its rows. */
 void ss_ledger_compare (SsLedger *ledger, GHashTable *counts);
--- a/bench/load.h
+++ b/bench/load.h
@@ -35,7 +35,7 @@
   int32_t id_percent;
   int32_t transaction_percent;
   int32_t aged_percent;
-  int32_t roam_percent;
+  int32_t reconnect_percent;
   int32_t token_percent;
   int32_t think_ms;
   int32_t readers;         /* callers that never write */
@@ -45,7 +45,7 @@
   char *aged_kind;
   int64_t started_ms;
   int64_t stop_ms;
-  int32_t live;
+  int32_t live_callers;
   bool stopping;
   GRand *rand;
   SsLedger ledger;
@@ -62,23 +62,23 @@
   ev_timer timer;
   bool connecting;
   char *token;
-  SsFiling *last_own; /* last acknowledged */
+  SsFiling *last_acknowledged; /* last acknowledged */
   OpKind op;
   char *steps[STEPS_MAX];
   int32_t step_count;
   int32_t step;
-  SsFiling *filing;
-  SsFiling *wanted; /* of a read */
+  SsFiling *current_write;
+  SsFiling *expected_write; /* of a read */
   int64_t op_started_ms;
-  int64_t arrived_ms;
-  int64_t token_ms;   /* what the token covers: acknowledged by then */
+  int64_t must_see_ms;
+  int64_t token_covers_ms;   /* what the token covers: acknowledged by then */
   bool may_be_absent; /* another caller's write, not promised */
-  int64_t try_started_ms;
+  int64_t attempt_started_ms;
   int64_t step_started_us;
   int32_t rows;
   bool value_matches;
-  bool running; /* a statement is out */
-  bool ending;  /* the entry vm said that it ends the connection */
+  bool statement_pending; /* a statement is out */
+  bool vm_stopping;  /* the entry vm said that it ends the connection */
   bool failed;
   char sqlstate[6];
   char detail[160];
--- a/bench/load_ops.c
+++ b/bench/load_ops.c
@@ -28,7 +28,7 @@
 static void
 build_write (Caller *c)
 {
-  const char *key = c->filing->key;
+  const char *key = c->current_write->key;
 
   load_clear_steps (c);
   if (c->op == OP_WRITE_WITH_ID)
@@ -37,7 +37,7 @@
     {
       add_step (c, g_strdup ("BEGIN"));
       add_step (c, insert_sql (key));
-      add_step (c, insert_sql (c->filing->partner));
+      add_step (c, insert_sql (c->current_write->partner));
       add_step (c, g_strdup ("COMMIT"));
       return;
     }
@@ -45,7 +45,7 @@
 }
 
 static void
-new_filing (Caller *c)
+new_write (Caller *c)
 {
   char key[40];
   char partner[40];
@@ -53,7 +53,7 @@
   c->sequence++;
   g_snprintf (key, sizeof key, "c%d-%d", c->number, c->sequence);
   g_snprintf (partner, sizeof partner, "c%d-%d-b", c->number, c->sequence);
-  c->filing = ss_ledger_add (&load.ledger, key,
+  c->current_write = ss_ledger_add (&load.ledger, key,
                              c->op == OP_TRANSACTION ? partner : NULL);
 }
 
@@ -80,28 +80,28 @@
   bool aged = c->op == OP_READ_AGED;
 
   load_clear_steps (c);
-  c->wanted = c->last_own;
+  c->expected_write = c->last_acknowledged;
   if (aged)
-    c->wanted = pick_acknowledged (load_now_ms () - load.staleness_ms);
+    c->expected_write = pick_acknowledged (load_now_ms () - load.staleness_ms);
   if (c->op == OP_READ_ANY)
-    c->wanted = pick_acknowledged (c->arrived_ms);
+    c->expected_write = pick_acknowledged (c->must_see_ms);
   c->may_be_absent = c->op == OP_READ_ANY && load.identity;
   add_step (c, g_strdup_printf ("SET sapphirestair.kind = '%s'",
                                 aged ? load.aged_kind : "session"));
   add_step (c, g_strdup_printf ("SELECT value FROM " TABLE " WHERE key = '%s'",
-                                c->wanted ? c->wanted->key : "none"));
+                                c->expected_write ? c->expected_write->key : "none"));
   add_step (c, g_strdup ("RESET sapphirestair.kind"));
 }
 
 static void
-draw_op (Caller *c)
+choose_op_kind (Caller *c)
 {
   if (c->number < load.readers)
     {
       c->op = load_chance (load.aged_percent) ? OP_READ_AGED : OP_READ_ANY;
       return;
     }
-  if (!c->last_own || load_chance (load.write_percent))
+  if (!c->last_acknowledged || load_chance (load.write_percent))
     {
       c->op = OP_WRITE;
       if (load_chance (load.transaction_percent))
@@ -123,12 +123,12 @@
 void
 load_choose_op (Caller *c)
 {
-  draw_op (c);
+  choose_op_kind (c);
   if (!load_is_write (c))
     {
       build_read (c);
       return;
     }
-  new_filing (c);
+  new_write (c);
   build_write (c);
 }
--- a/bench/load_report.c
+++ b/bench/load_report.c
@@ -7,8 +7,8 @@
 #include "bench/load.h"
 
 /* A change of primary is over within this; the users' figure. */
-#define PRIMARY_BOUND_MS 16000
-#define PRIMARY_AGAIN_MS 50
+#define PRIMARY_TIMEOUT_MS 16000
+#define PRIMARY_RETRY_MS 50
 
 static PGconn *
 connect_target (const char *address)
@@ -40,7 +40,7 @@
 }
 
 static GHashTable *
-read_contents (PGconn *pq)
+read_row_counts (PGconn *pq)
 {
   GHashTable *counts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -59,7 +59,7 @@
 
 /* The contents of the primary of the highest term; NULL: there is none now. */
 static GHashTable *
-read_primary (void)
+read_primary_rows (void)
 {
   GHashTable *best = NULL;
   uint64_t best_term = 0;
@@ -73,7 +73,7 @@
         {
           if (best)
             g_hash_table_destroy (best);
-          best = read_contents (pq);
+          best = read_row_counts (pq);
           best_term = term;
         }
       PQfinish (pq);
@@ -85,13 +85,13 @@
 bool
 load_compare (void)
 {
-  int64_t due_ms = load_now_ms () + PRIMARY_BOUND_MS;
-  GHashTable *best = read_primary ();
+  int64_t deadline_ms = load_now_ms () + PRIMARY_TIMEOUT_MS;
+  GHashTable *best = read_primary_rows ();
 
-  while (!best && load_now_ms () < due_ms)
+  while (!best && load_now_ms () < deadline_ms)
     {
-      g_usleep (PRIMARY_AGAIN_MS * 1000);
-      best = read_primary ();
+      g_usleep (PRIMARY_RETRY_MS * 1000);
+      best = read_primary_rows ();
     }
   if (!best)
     return false;
@@ -169,7 +169,7 @@
       "{s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:f, s:I, s:f, "
       "s:f, s:I, s:I, s:b, s:f, s:o}",
       "statements", (json_int_t) l->statements, "acknowledged",
-      (json_int_t) l->acks, "not_run", (json_int_t) l->not_run, "may_have_run",
+      (json_int_t) l->acknowledged_ops, "not_run", (json_int_t) l->not_run, "may_have_run",
       (json_int_t) l->may_have_run, "lost", (json_int_t) l->lost, "doubled",
       (json_int_t) doubled, "stale", (json_int_t) l->stale, "crossed",
       (json_int_t) l->crossed, "mixed", (json_int_t) l->mixed,
--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -16,8 +16,8 @@
 
 #include "bench/ledger.h"
 
-#define OPEN_AT_ONCE 64
-#define ARRIVAL_STEP_S 0.002
+#define PENDING_CONNECTS_MAX 64
+#define ARRIVAL_INTERVAL_S 0.002
 
 typedef struct
 {
@@ -42,16 +42,16 @@
   gboolean idle;
   int pid; /* whose memory is reported */
   Conn *conns;
-  GQueue free_conns;
+  GQueue idle_conns;
   int opened;
   int ready;
   int64_t started_us;
-  uint64_t done;
+  uint64_t completed;
   uint64_t refused;
   uint64_t dropped; /* no connection was free */
-  double due;       /* arrivals still to be sent */
+  double due_arrivals;       /* arrivals still to be sent */
   SsLedger ledger;  /* for latencies */
-  GArray *refusals_us;
+  GArray *refusal_latencies_us;
   int64_t memory_before_kb;
   bool running;
 } bench;
@@ -80,7 +80,7 @@
   return kb;
 }
 
-static void open_next (void);
+static void open_next_connection (void);
 
 static void
 send_statement (Conn *c)
@@ -105,15 +105,15 @@
   if (c->failed)
     {
       bench.refused++;
-      g_array_append_val (bench.refusals_us, latency_us);
+      g_array_append_val (bench.refusal_latencies_us, latency_us);
     }
   else
     {
-      bench.done++;
+      bench.completed++;
       g_array_append_val (bench.ledger.latencies_us, latency_us);
     }
   if (bench.rate)
-    g_queue_push_tail (&bench.free_conns, c);
+    g_queue_push_tail (&bench.idle_conns, c);
   else if (bench.running)
     send_statement (c);
 }
@@ -145,14 +145,14 @@
 }
 
 static void
-begin (void)
+start_measurement (void)
 {
   bench.running = true;
   bench.started_us = now_us ();
   for (int i = 0; i < bench.callers; i++)
     {
       if (bench.rate)
-        g_queue_push_tail (&bench.free_conns, &bench.conns[i]);
+        g_queue_push_tail (&bench.idle_conns, &bench.conns[i]);
       else if (!bench.idle)
         send_statement (&bench.conns[i]);
     }
@@ -167,7 +167,7 @@
 }
 
 static void
-on_ready (Conn *c)
+on_connected (Conn *c)
 {
   static ev_timer stop;
 
@@ -177,12 +177,12 @@
   ev_io_start (bench.loop, &c->io);
   bench.ready++;
   if (bench.opened < bench.callers)
-    open_next ();
+    open_next_connection ();
   if (bench.ready < bench.callers)
     return;
   ev_timer_init (&stop, on_stop, bench.seconds, 0);
   ev_timer_start (bench.loop, &stop);
-  begin ();
+  start_measurement ();
 }
 
 static void
@@ -206,7 +206,7 @@
     }
   if (poll == PGRES_POLLING_OK)
     {
-      on_ready (c);
+      on_connected (c);
       return;
     }
   ev_io_stop (bench.loop, w);
@@ -216,7 +216,7 @@
 }
 
 static void
-open_next (void)
+open_next_connection (void)
 {
   Conn *c = &bench.conns[bench.opened++];
   char **parts = g_strsplit (bench.address, ":", 2);
@@ -242,9 +242,9 @@
   (void) events;
   if (!bench.running)
     return;
-  for (bench.due += bench.rate * ARRIVAL_STEP_S; bench.due >= 1; bench.due--)
+  for (bench.due_arrivals += bench.rate * ARRIVAL_INTERVAL_S; bench.due_arrivals >= 1; bench.due_arrivals--)
     {
-      Conn *c = g_queue_pop_head (&bench.free_conns);
+      Conn *c = g_queue_pop_head (&bench.idle_conns);
 
       if (c)
         send_statement (c);
@@ -257,19 +257,19 @@
 print_report (void)
 {
   double seconds = (double) (now_us () - bench.started_us) / 1e6;
-  SsLedger refusals = { .latencies_us = bench.refusals_us };
-  int64_t grown_kb = resident_kb () - bench.memory_before_kb;
+  SsLedger refusals = { .latencies_us = bench.refusal_latencies_us };
+  int64_t growth_kb = resident_kb () - bench.memory_before_kb;
   json_t *json
       = json_pack ("{s:i, s:f, s:f, s:f, s:f, s:I, s:f, s:f, s:I, s:f}",
                    "callers", bench.callers, "seconds", seconds,
-                   "completed_per_s", (double) bench.done / seconds, "p50_ms",
+                   "completed_per_s", (double) bench.completed / seconds, "p50_ms",
                    ss_ledger_latency_ms (&bench.ledger, 0.5), "p99_ms",
                    ss_ledger_latency_ms (&bench.ledger, 0.99), "refused",
                    (json_int_t) bench.refused, "refusal_p50_ms",
                    ss_ledger_latency_ms (&refusals, 0.5), "refusal_p99_ms",
                    ss_ledger_latency_ms (&refusals, 0.99), "dropped",
                    (json_int_t) bench.dropped, "memory_bytes_per_connection",
-                   bench.pid ? (double) grown_kb * 1024 / bench.callers : 0.0);
+                   bench.pid ? (double) growth_kb * 1024 / bench.callers : 0.0);
   char *text = json_dumps (json, JSON_COMPACT | JSON_REAL_PRECISION (5)
                                      | JSON_PRESERVE_ORDER);
 
@@ -316,15 +316,15 @@
     }
   bench.loop = ev_default_loop (0);
   bench.conns = g_new0 (Conn, bench.callers);
-  bench.refusals_us = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  g_queue_init (&bench.free_conns);
+  bench.refusal_latencies_us = g_array_new (FALSE, FALSE, sizeof (uint32_t));
+  g_queue_init (&bench.idle_conns);
   ss_ledger_init (&bench.ledger);
   bench.memory_before_kb = resident_kb ();
-  ev_timer_init (&arrivals, on_arrivals, ARRIVAL_STEP_S, ARRIVAL_STEP_S);
+  ev_timer_init (&arrivals, on_arrivals, ARRIVAL_INTERVAL_S, ARRIVAL_INTERVAL_S);
   if (bench.rate)
     ev_timer_start (bench.loop, &arrivals);
-  for (int i = 0; i < OPEN_AT_ONCE && i < bench.callers; i++)
-    open_next ();
+  for (int i = 0; i < PENDING_CONNECTS_MAX && i < bench.callers; i++)
+    open_next_connection ();
   ev_run (bench.loop, 0);
   print_report ();
   return 0;
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -11,9 +11,9 @@
 
 #include "bench/load.h"
 
-#define RECONNECT_MS 50
-#define GIVE_UP_MS 8000
-#define DRAIN_MS 12000
+#define RECONNECT_DELAY_MS 50
+#define OP_TIMEOUT_MS 8000
+#define DRAIN_TIMEOUT_MS 12000
 
 Load load;
 
@@ -40,13 +40,13 @@
 }
 
 static bool
-says (const Caller *c, const char *verdict)
+detail_contains (const Caller *c, const char *verdict)
 {
   return strstr (c->detail, verdict) != NULL;
 }
 
 static void
-wait_then (Caller *c, int64_t wait_ms)
+start_timer (Caller *c, int64_t wait_ms)
 {
   ev_timer_stop (load.loop, &c->timer);
   ev_timer_set (&c->timer, (double) MAX (wait_ms, 0) / 1000.0, 0);
@@ -65,7 +65,7 @@
     {
       g_free (c->token);
       c->token = g_strdup (token);
-      c->token_ms = c->arrived_ms;
+      c->token_covers_ms = c->must_see_ms;
     }
   ev_io_stop (load.loop, &c->io);
   PQfinish (c->pq);
@@ -78,7 +78,7 @@
   c->done = true;
   close_connection (c);
   ev_timer_stop (load.loop, &c->timer);
-  if (--load.live == 0)
+  if (--load.live_callers == 0)
     ev_break (load.loop, EVBREAK_ALL);
 }
 
@@ -89,13 +89,13 @@
   const char *detail = PQresultErrorField (r, PG_DIAG_MESSAGE_DETAIL);
 
   if (detail && strstr (detail, "reason=stopping"))
-    c->ending = true;
+    c->vm_stopping = true;
 }
 
 static void
 send_step (Caller *c)
 {
-  if (c->ending)
+  if (c->vm_stopping)
     {
       close_connection (c);
       g_strlcpy (c->detail, "verdict=not_run reason=stopping",
@@ -104,7 +104,7 @@
       return;
     }
   c->failed = false;
-  c->running = true;
+  c->statement_pending = true;
   c->rows = 0;
   c->value_matches = true;
   c->step_started_us = now_us ();
@@ -115,9 +115,9 @@
 }
 
 static void
-try_op (Caller *c)
+start_attempt (Caller *c)
 {
-  c->try_started_ms = load_now_ms ();
+  c->attempt_started_ms = load_now_ms ();
   c->step = 0;
   send_step (c);
 }
@@ -130,7 +130,7 @@
       end_caller (c);
       return;
     }
-  if (c->pq && load_chance (load.roam_percent))
+  if (c->pq && load_chance (load.reconnect_percent))
     {
       close_connection (c);
       open_connection (c);
@@ -138,7 +138,7 @@
     }
   c->op_started_ms = load_now_ms ();
   load_choose_op (c);
-  try_op (c);
+  start_attempt (c);
 }
 
 static int32_t
@@ -152,19 +152,19 @@
 static void
 end_op (Caller *c)
 {
-  c->filing = NULL;
-  c->wanted = NULL;
+  c->current_write = NULL;
+  c->expected_write = NULL;
   if (load.stopping)
     end_caller (c);
   else
-    wait_then (c, think_ms (c));
+    start_timer (c, think_ms (c));
 }
 
 static void
-judge_read (Caller *c)
+check_read (Caller *c)
 {
   load.ledger.reads++;
-  if (!c->wanted)
+  if (!c->expected_write)
     return;
   if (c->rows == 0 && c->may_be_absent)
     return;
@@ -178,18 +178,18 @@
     fprintf (stderr,
              "ss-load: stale: caller %d key %s op %d token %s "
              "age_ms %" G_GINT64_FORMAT "\n",
-             c->number, c->wanted->key, c->op, c->token ? c->token : "-",
-             load_now_ms () - c->wanted->acknowledged_ms);
+             c->number, c->expected_write->key, c->op, c->token ? c->token : "-",
+             load_now_ms () - c->expected_write->acknowledged_ms);
 }
 
 static void
-succeed (Caller *c)
+complete_op (Caller *c)
 {
-  load.ledger.acks++;
+  load.ledger.acknowledged_ops++;
   if (load_is_write (c))
     {
-      ss_ledger_acknowledge (&load.ledger, c->filing, load_now_ms ());
-      c->last_own = c->filing;
+      ss_ledger_acknowledge (&load.ledger, c->current_write, load_now_ms ());
+      c->last_acknowledged = c->current_write;
     }
   end_op (c);
 }
@@ -204,10 +204,10 @@
 }
 
 static bool
-time_is_up (const Caller *c)
+op_timed_out (const Caller *c)
 {
-  return load.stopping ? load_now_ms () > load.stop_ms + DRAIN_MS
-                       : load_now_ms () - c->op_started_ms > GIVE_UP_MS;
+  return load.stopping ? load_now_ms () > load.stop_ms + DRAIN_TIMEOUT_MS
+                       : load_now_ms () - c->op_started_ms > OP_TIMEOUT_MS;
 }
 
 /* A write that failed; it is repeated where that is safe. */
@@ -216,24 +216,24 @@
 {
   bool safe = not_run || c->op == OP_WRITE_WITH_ID;
 
-  ss_ledger_write_failed (&load.ledger, c->try_started_ms);
-  if (!safe || time_is_up (c))
+  ss_ledger_write_failed (&load.ledger, c->attempt_started_ms);
+  if (!safe || op_timed_out (c))
     {
       /* An earlier try with the id may have run. */
-      c->filing->fate = not_run && c->op != OP_WRITE_WITH_ID ? SS_FATE_NOT_RUN
+      c->current_write->fate = not_run && c->op != OP_WRITE_WITH_ID ? SS_FATE_NOT_RUN
                                                              : SS_FATE_UNKNOWN;
       end_op (c);
       return;
     }
-  wait_then (c, retry_after_ms (c));
+  start_timer (c, retry_after_ms (c));
 }
 
 static void
 fail_op (Caller *c)
 {
-  bool not_run = says (c, "verdict=not_run");
+  bool not_run = detail_contains (c, "verdict=not_run");
 
-  ss_ledger_reason (&load.ledger, c->detail);
+  ss_ledger_count_reason (&load.ledger, c->detail);
   if (not_run)
     load.ledger.not_run++;
   else
@@ -244,12 +244,12 @@
     {
       /* The session still has the read's kind: a write must not follow. */
       close_connection (c);
-      c->filing = NULL;
-      c->wanted = NULL;
+      c->current_write = NULL;
+      c->expected_write = NULL;
       if (load.stopping)
         end_caller (c);
       else
-        wait_then (c, retry_after_ms (c));
+        start_timer (c, retry_after_ms (c));
     }
 }
 
@@ -268,11 +268,11 @@
       return;
     }
   if (!load_is_write (c) && c->step == 1)
-    judge_read (c);
+    check_read (c);
   if (++c->step < c->step_count)
     send_step (c);
   else
-    succeed (c);
+    complete_op (c);
 }
 
 static void
@@ -283,8 +283,8 @@
   if (status == PGRES_TUPLES_OK)
     {
       c->rows += PQntuples (r);
-      for (int i = 0; c->wanted && i < PQntuples (r); i++)
-        if (strcmp (PQgetvalue (r, i, 0), c->wanted->key) != 0)
+      for (int i = 0; c->expected_write && i < PQntuples (r); i++)
+        if (strcmp (PQgetvalue (r, i, 0), c->expected_write->key) != 0)
           c->value_matches = false;
     }
   else if (status != PGRES_COMMAND_OK && status != PGRES_EMPTY_QUERY)
@@ -310,25 +310,25 @@
  * transaction whose COMMIT was not sent.
  */
 static void
-lose_connection (Caller *c)
+on_connection_lost (Caller *c)
 {
-  bool in_op = c->running;
+  bool was_pending = c->statement_pending;
   bool uncommitted = c->op == OP_TRANSACTION && c->step < c->step_count - 1;
-  bool setting = c->op == OP_WRITE_WITH_ID && c->step == 0;
+  bool setting_id = c->op == OP_WRITE_WITH_ID && c->step == 0;
 
-  bool told = strstr (PQerrorMessage (c->pq), "reason=stopping") != NULL;
+  bool stop_reported = strstr (PQerrorMessage (c->pq), "reason=stopping") != NULL;
 
   close_connection (c);
-  c->running = false;
+  c->statement_pending = false;
   c->detail[0] = 0;
-  if (uncommitted || setting || told)
+  if (uncommitted || setting_id || stop_reported)
     g_strlcpy (c->detail, "verdict=not_run", sizeof c->detail);
-  if (in_op)
+  if (was_pending)
     fail_op (c);
   else if (load.stopping)
     end_caller (c);
   else
-    wait_then (c, RECONNECT_MS);
+    start_timer (c, RECONNECT_DELAY_MS);
 }
 
 static void
@@ -336,7 +336,7 @@
 {
   if (!PQconsumeInput (c->pq))
     {
-      lose_connection (c);
+      on_connection_lost (c);
       return;
     }
   while (c->pq && !PQisBusy (c->pq))
@@ -345,14 +345,14 @@
 
       if (!r)
         {
-          bool told = c->failed && says (c, "verdict=");
+          bool has_verdict = c->failed && detail_contains (c, "verdict=");
 
           /* A verdict stands, also where the connection ends with it. */
-          if (PQstatus (c->pq) == CONNECTION_BAD && !told)
-            lose_connection (c);
-          else if (c->running)
+          if (PQstatus (c->pq) == CONNECTION_BAD && !has_verdict)
+            on_connection_lost (c);
+          else if (c->statement_pending)
             {
-              c->running = false;
+              c->statement_pending = false;
               end_step (c);
             }
           return;
@@ -366,14 +366,14 @@
 on_connected (Caller *c)
 {
   c->connecting = false;
-  c->ending = false;
+  c->vm_stopping = false;
   PQsetNoticeReceiver (c->pq, on_notice, c);
   PQsetnonblocking (c->pq, 1);
   ev_io_stop (load.loop, &c->io);
   ev_io_set (&c->io, PQsocket (c->pq), EV_READ);
   ev_io_start (load.loop, &c->io);
-  if (c->filing)
-    try_op (c);
+  if (c->current_write)
+    start_attempt (c);
   else
     begin_op (c);
 }
@@ -401,14 +401,14 @@
     {
       load.ledger.refused_connections++;
       close_connection (c);
-      if (load.stopping && time_is_up (c))
+      if (load.stopping && op_timed_out (c))
         {
-          if (c->filing)
-            c->filing->fate = SS_FATE_UNKNOWN;
+          if (c->current_write)
+            c->current_write->fate = SS_FATE_UNKNOWN;
           end_caller (c);
         }
       else
-        wait_then (c, RECONNECT_MS);
+        start_timer (c, RECONNECT_DELAY_MS);
       return;
     }
   ev_io_stop (load.loop, w);
@@ -424,9 +424,9 @@
   const char *entry
       = load.entries[g_rand_int_range (load.rand, 0, (gint32) count)];
   char **parts = g_strsplit (entry, ":", 2);
-  bool brings_token = c->token && load_chance (load.token_percent);
+  bool sends_token = c->token && load_chance (load.token_percent);
   char *options
-      = brings_token
+      = sends_token
             ? g_strdup_printf ("options='-c sapphirestair.token=%s'", c->token)
             : g_strdup ("");
   char *conninfo = g_strdup_printf (
@@ -435,7 +435,7 @@
       parts[0], parts[1], load.service, load.identity ? c->number : 0, options);
 
   c->connecting = true;
-  c->arrived_ms = brings_token ? c->token_ms : load_now_ms ();
+  c->must_see_ms = sends_token ? c->token_covers_ms : load_now_ms ();
   c->pq = PQconnectStart (conninfo);
   g_free (conninfo);
   g_free (options);
@@ -445,7 +445,7 @@
       load.ledger.refused_connections++;
       PQfinish (c->pq);
       c->pq = NULL;
-      wait_then (c, RECONNECT_MS);
+      start_timer (c, RECONNECT_DELAY_MS);
       return;
     }
   ev_io_init (&c->io, on_io, PQsocket (c->pq), EV_WRITE);
@@ -464,8 +464,8 @@
     return;
   if (!c->pq)
     open_connection (c);
-  else if (c->filing)
-    try_op (c);
+  else if (c->current_write)
+    start_attempt (c);
   else
     begin_op (c);
 }
@@ -484,7 +484,7 @@
 {
   (void) w;
   (void) events;
-  fprintf (stderr, "ss-load: %d callers did not come to an end\n", load.live);
+  fprintf (stderr, "ss-load: %d callers did not come to an end\n", load.live_callers);
   ev_break (loop, EVBREAK_ALL);
 }
 
@@ -508,17 +508,17 @@
 
   load.started_ms = load_now_ms ();
   load.stop_ms = load.started_ms + load.seconds * 1000;
-  load.live = load.callers;
+  load.live_callers = load.callers;
   for (int32_t i = 0; i < load.callers; i++)
     {
       callers[i].number = i;
       ev_timer_init (&callers[i].timer, on_timer, 0, 0);
       callers[i].timer.data = &callers[i];
-      wait_then (&callers[i], g_rand_int_range (load.rand, 0, 100));
+      start_timer (&callers[i], g_rand_int_range (load.rand, 0, 100));
     }
   ev_timer_init (&stop, on_stop, load.seconds, 0);
   ev_timer_start (load.loop, &stop);
-  ev_timer_init (&overrun, on_overrun, load.seconds + 2 * DRAIN_MS / 1000.0, 0);
+  ev_timer_init (&overrun, on_overrun, load.seconds + 2 * DRAIN_TIMEOUT_MS / 1000.0, 0);
   ev_timer_start (load.loop, &overrun);
   ev_signal_init (&on_int, on_signal, SIGINT);
   ev_signal_start (load.loop, &on_int);
@@ -561,7 +561,7 @@
       "Name of the aged kind", "NAME" },
     { "staleness-ms", 0, 0, G_OPTION_ARG_INT, &staleness_ms,
       "Staleness of the aged kind", "MS" },
-    { "roam", 0, 0, G_OPTION_ARG_INT, &load.roam_percent,
+    { "roam", 0, 0, G_OPTION_ARG_INT, &load.reconnect_percent,
       "Chance to connect anew before an operation", "P" },
     { "tokens", 0, 0, G_OPTION_ARG_INT, &load.token_percent,
       "Share of arrivals that bring their token", "P" },
@@ -588,7 +588,7 @@
   load.id_percent = 50;
   load.transaction_percent = 20;
   load.aged_percent = 50;
-  load.roam_percent = 10;
+  load.reconnect_percent = 10;
   load.token_percent = 50;
   load.think_ms = 2;
   load.writer_think_ms = -1;
--- a/bench/ss_scenario.c
+++ b/bench/ss_scenario.c
@@ -12,8 +12,8 @@
 
 #include "bench/deploy.h"
 
-#define AWAIT_BOUND_MS 30000
-#define STEP_US 20000
+#define AWAIT_TIMEOUT_MS 30000
+#define POLL_INTERVAL_US 20000
 
 typedef struct
 {
@@ -60,14 +60,14 @@
 }
 
 /* The vm that owns the noted primary. */
-static SsDeployed *
+static SsDeployProcess *
 find_owner (Run *run, uint32_t *index)
 {
   SsDeploy *d = &run->deploy;
   char *url;
   char *command;
   char *answer = NULL;
-  SsDeployed *found = NULL;
+  SsDeployProcess *found = NULL;
   json_t *json;
   const char *name;
 
@@ -100,7 +100,7 @@
   return found;
 }
 
-static SsDeployed *
+static SsDeployProcess *
 find_process (Run *run, char **argv, uint32_t *index)
 {
   SsDeploy *d = &run->deploy;
@@ -134,7 +134,7 @@
 {
   run->deploy.max_connections
       = (uint32_t) atoi (option (argv, "connections", "20"));
-  run->deploy.lookup_staleness_ms
+  run->deploy.report_staleness_ms
       = (uint32_t) atoi (option (argv, "staleness_ms", "30000"));
   run->deploy.identity = option (argv, "identity", "none");
   if (ss_deploy_start (
@@ -163,11 +163,11 @@
 static bool
 do_wait (Run *run, char **argv)
 {
-  int64_t due_ms = now_ms () + atoi (argv[1] ? argv[1] : "0");
+  int64_t deadline_ms = now_ms () + atoi (argv[1] ? argv[1] : "0");
 
   (void) run;
-  while (now_ms () < due_ms && !interrupted)
-    g_usleep (STEP_US);
+  while (now_ms () < deadline_ms && !interrupted)
+    g_usleep (POLL_INTERVAL_US);
   return true;
 }
 
@@ -175,7 +175,7 @@
 do_signal (Run *run, char **argv)
 {
   uint32_t index;
-  SsDeployed *p = find_process (run, argv, &index);
+  SsDeployProcess *p = find_process (run, argv, &index);
 
   if (!p || !p->pid)
     return fail (run, "no such process");
@@ -195,7 +195,7 @@
 do_start (Run *run, char **argv)
 {
   uint32_t index;
-  SsDeployed *p = find_process (run, argv, &index);
+  SsDeployProcess *p = find_process (run, argv, &index);
 
   if (!p || p->pid)
     return fail (run, "no such process, or it runs already");
@@ -205,11 +205,11 @@
 }
 
 static bool
-do_cut (Run *run, char **argv)
+do_partition (Run *run, char **argv)
 {
-  bool cut = strcmp (argv[0], "cut") == 0;
+  bool partitioned = strcmp (argv[0], "cut") == 0;
 
-  if (!argv[1] || !ss_deploy_cut_domain (&run->deploy, argv[1], cut))
+  if (!argv[1] || !ss_deploy_partition_domain (&run->deploy, argv[1], partitioned))
     return fail (run, "can't %s that domain", argv[0]);
   return true;
 }
@@ -221,7 +221,7 @@
   uint32_t vm = argv[1] ? (uint32_t) atoi (argv[1]) : 0;
 
   if (!argv[1] || !argv[2] || vm >= run->deploy.vm_count
-      || !ss_deploy_link (&run->deploy, vm, argv[2]))
+      || !ss_deploy_set_link_faults (&run->deploy, vm, argv[2]))
     return fail (run, "the network refused the fault");
   return true;
 }
@@ -229,7 +229,7 @@
 static bool
 do_platform (Run *run, char **argv)
 {
-  if (!argv[1] || !ss_deploy_platform_control (&run->deploy, argv[1]))
+  if (!argv[1] || !ss_deploy_control_platform (&run->deploy, argv[1]))
     return fail (run, "the platform refused the control");
   return true;
 }
@@ -238,11 +238,11 @@
 do_control (Run *run, char **argv)
 {
   uint32_t index = 0;
-  SsDeployed *p = find_process (run, argv, &index);
+  SsDeployProcess *p = find_process (run, argv, &index);
   uint32_t at = argv[1] && strcmp (argv[1], "primary") == 0 ? 2 : 3;
 
   if (!p || !argv[at] || !argv[at + 1]
-      || !ss_deploy_control (p, argv[at], atoi (argv[at + 1])))
+      || !ss_deploy_control_target (p, argv[at], atoi (argv[at + 1])))
     return fail (run, "the target refused the control");
   return true;
 }
@@ -250,7 +250,7 @@
 static bool
 do_put (Run *run, char **argv)
 {
-  if (!argv[1] || !argv[2] || !ss_deploy_put (&run->deploy, argv[1], argv[2]))
+  if (!argv[1] || !argv[2] || !ss_deploy_put_object (&run->deploy, argv[1], argv[2]))
     return fail (run, "the platform refused the object");
   return true;
 }
@@ -275,26 +275,26 @@
 static bool
 do_await (Run *run, char **argv)
 {
-  int64_t due_ms = now_ms () + AWAIT_BOUND_MS;
+  int64_t deadline_ms = now_ms () + AWAIT_TIMEOUT_MS;
   uint32_t index = 0;
-  SsDeployed *p
+  SsDeployProcess *p
       = argv[1] && argv[2] ? find_process (run, argv + 1, &index) : NULL;
   int code = 0;
 
   if (argv[1] && strcmp (argv[1], "ready") == 0)
-    return (p && ss_deploy_wait_ready (&run->deploy, index, AWAIT_BOUND_MS))
+    return (p && ss_deploy_wait_ready (&run->deploy, index, AWAIT_TIMEOUT_MS))
            || fail (run, "the vm is not ready");
   if (argv[1] && strcmp (argv[1], "exit") == 0)
     {
-      if (!p || !ss_deploy_wait_exit (p, AWAIT_BOUND_MS, &code))
+      if (!p || !ss_deploy_wait_exit (p, AWAIT_TIMEOUT_MS, &code))
         return fail (run, "the process did not end");
       return code == 0 || fail (run, "the process ended with %d", code);
     }
-  while (now_ms () < due_ms && !interrupted)
+  while (now_ms () < deadline_ms && !interrupted)
     {
       if (primary_changed (run))
         return true;
-      g_usleep (STEP_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return fail (run, "no new primary");
 }
@@ -303,8 +303,8 @@
 static bool
 do_sql (Run *run, char **argv)
 {
-  int64_t due_ms = now_ms () + AWAIT_BOUND_MS;
-  bool again = argv[0][0] == 'a';
+  int64_t deadline_ms = now_ms () + AWAIT_TIMEOUT_MS;
+  bool retry = argv[0][0] == 'a';
   char *answer;
   bool ok;
 
@@ -315,13 +315,13 @@
       answer = ss_deploy_sql (&run->deploy, (uint32_t) atoi (argv[1]),
                               option (argv, "conninfo", ""), argv[2]);
       ok = strcmp (answer, argv[3]) == 0;
-      if (!ok && !again)
+      if (!ok && !retry)
         fail (run, "expected %s, got %s", argv[3], answer);
       g_free (answer);
-      if (!ok && again)
-        g_usleep (STEP_US);
+      if (!ok && retry)
+        g_usleep (POLL_INTERVAL_US);
     }
-  while (!ok && again && now_ms () < due_ms && !interrupted);
+  while (!ok && retry && now_ms () < deadline_ms && !interrupted);
   return ok || fail (run, "%s is not answered as expected", argv[2]);
 }
 
@@ -330,7 +330,7 @@
 do_ctl (Run *run, char **argv)
 {
   char *output = NULL;
-  int wanted = argv[1] && argv[2] && argv[3] ? atoi (argv[3]) : 0;
+  int expected_code = argv[1] && argv[2] && argv[3] ? atoi (argv[3]) : 0;
   int code;
 
   if (!argv[1] || !argv[2])
@@ -338,12 +338,12 @@
   code = ss_deploy_ctl (&run->deploy, (uint32_t) atoi (argv[1]), argv[2],
                         &output);
   if (argv[3] && strcmp (argv[3], "any") == 0)
-    wanted = code;
-  if (code != wanted)
-    fail (run, "sapphirectl ended with %d, expected %d: %s", code, wanted,
+    expected_code = code;
+  if (code != expected_code)
+    fail (run, "sapphirectl ended with %d, expected %d: %s", code, expected_code,
           output);
   g_free (output);
-  return code == wanted;
+  return code == expected_code;
 }
 
 /* "race VM COMMAND VM COMMAND": both at the same moment; one is accepted. */
@@ -479,8 +479,8 @@
   { "thaw", do_signal },
   { "stop", do_signal },
   { "start", do_start },
-  { "cut", do_cut },
-  { "heal", do_cut },
+  { "cut", do_partition },
+  { "heal", do_partition },
   { "link", do_link },
   { "platform", do_platform },
   { "control", do_control },
--- a/bench/ss_soak.c
+++ b/bench/ss_soak.c
@@ -21,7 +21,7 @@
 #define FAULT_MAX_MS 4000
 #define FAULT_MIN_MS 50
 /* A fault that finds nothing left to act on is drawn anew this often. */
-#define DRAWS 8
+#define FAULT_TRIES_MAX 8
 
 static const char *const domains[]
     = { "aarhus-hal", "koege-hal", "odense-hal" };
@@ -32,16 +32,16 @@
 /* What a fault acts on, and nothing else may meanwhile. */
 typedef enum
 {
-  PLACE_VM,
-  PLACE_LINK,
-  PLACE_TARGET,
-  PLACE_DOMAIN,
-  PLACE_PLATFORM,
-  PLACE_GROUP,
-  PLACE_COUNT
-} Place;
+  RESOURCE_VM,
+  RESOURCE_LINK,
+  RESOURCE_TARGET,
+  RESOURCE_DOMAIN,
+  RESOURCE_PLATFORM,
+  RESOURCE_GROUP,
+  RESOURCE_COUNT
+} Resource;
 
-static const uint32_t place_sizes[PLACE_COUNT]
+static const uint32_t resource_sizes[RESOURCE_COUNT]
     = { VMS, VMS, SERVERS, DOMAINS, 1, 1 };
 
 typedef struct
@@ -55,9 +55,9 @@
 {
   GRand *rand;
   GPtrArray *lines; /* of Line */
-  int64_t busy_until_ms[PLACE_COUNT][VMS];
-  int64_t begin_ms;
-  int64_t end_ms;
+  int64_t busy_until_ms[RESOURCE_COUNT][VMS];
+  int64_t faults_begin_ms;
+  int64_t faults_end_ms;
   int32_t seconds;
   int32_t faults;
 } Soak;
@@ -69,10 +69,10 @@
   uint32_t index;
   int64_t at_ms;
   int64_t until_ms;
-} Span;
+} FaultWindow;
 
 static void G_GNUC_PRINTF (3, 4)
-    add (Soak *soak, int64_t at_ms, const char *format, ...)
+    add_line (Soak *soak, int64_t at_ms, const char *format, ...)
 {
   Line *line = g_new (Line, 1);
   va_list args;
@@ -86,7 +86,7 @@
 }
 
 static int32_t
-draw (Soak *soak, int32_t low, int32_t high)
+random_between (Soak *soak, int32_t low, int32_t high)
 {
   return g_rand_int_range (soak->rand, low, high + 1);
 }
@@ -94,188 +94,188 @@
 /* --- faults --- */
 
 static void
-vm_killed (const Span *s)
+vm_killed (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "kill vm %u", s->index);
-  add (s->soak, s->until_ms, "start vm %u", s->index);
+  add_line (s->soak, s->at_ms, "kill vm %u", s->index);
+  add_line (s->soak, s->until_ms, "start vm %u", s->index);
 }
 
 /* It ends in its own time, so that no end is scheduled. */
 static void
-vm_stopped (const Span *s)
+vm_stopped (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "stop vm %u", s->index);
-  add (s->soak, s->until_ms, "await exit vm %u", s->index);
-  add (s->soak, s->until_ms, "start vm %u", s->index);
+  add_line (s->soak, s->at_ms, "stop vm %u", s->index);
+  add_line (s->soak, s->until_ms, "await exit vm %u", s->index);
+  add_line (s->soak, s->until_ms, "start vm %u", s->index);
 }
 
 static void
-vm_frozen (const Span *s)
+vm_frozen (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "freeze vm %u", s->index);
-  add (s->soak, s->until_ms, "thaw vm %u", s->index);
+  add_line (s->soak, s->at_ms, "freeze vm %u", s->index);
+  add_line (s->soak, s->until_ms, "thaw vm %u", s->index);
 }
 
 static void
-target_killed (const Span *s)
+target_killed (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "kill target %u", s->index);
-  add (s->soak, s->until_ms, "start target %u", s->index);
+  add_line (s->soak, s->at_ms, "kill target %u", s->index);
+  add_line (s->soak, s->until_ms, "start target %u", s->index);
 }
 
 static void
-target_frozen (const Span *s)
+target_frozen (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "freeze target %u", s->index);
-  add (s->soak, s->until_ms, "thaw target %u", s->index);
+  add_line (s->soak, s->at_ms, "freeze target %u", s->index);
+  add_line (s->soak, s->until_ms, "thaw target %u", s->index);
 }
 
 static void
-target_control (const Span *s, const char *name, int32_t value)
+target_control (const FaultWindow *s, const char *name, int32_t value)
 {
-  add (s->soak, s->at_ms, "control target %u %s %d", s->index, name, value);
-  add (s->soak, s->until_ms, "control target %u %s 0", s->index, name);
+  add_line (s->soak, s->at_ms, "control target %u %s %d", s->index, name, value);
+  add_line (s->soak, s->until_ms, "control target %u %s 0", s->index, name);
 }
 
 static void
-target_slow (const Span *s)
+target_slow (const FaultWindow *s)
 {
-  target_control (s, "slow_ms", draw (s->soak, 1, 200));
+  target_control (s, "slow_ms", random_between (s->soak, 1, 200));
 }
 
 static void
-target_lags (const Span *s)
+target_lagging (const FaultWindow *s)
 {
-  target_control (s, "apply_lag_ms", draw (s->soak, 1, 1500));
+  target_control (s, "apply_lag_ms", random_between (s->soak, 1, 1500));
 }
 
 static void
-target_connects_slowly (const Span *s)
+target_slow_connect (const FaultWindow *s)
 {
-  target_control (s, "connect_ms", draw (s->soak, 1, 500));
+  target_control (s, "connect_ms", random_between (s->soak, 1, 500));
 }
 
 static void
-target_drained (const Span *s)
+target_drained (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "ctl 0 \"drain target claims-db-%u\" any",
+  add_line (s->soak, s->at_ms, "ctl 0 \"drain target claims-db-%u\" any",
        s->index + 1);
-  add (s->soak, s->until_ms, "ctl 0 \"undrain target claims-db-%u\" any",
+  add_line (s->soak, s->until_ms, "ctl 0 \"undrain target claims-db-%u\" any",
        s->index + 1);
 }
 
 static void
-promotion_ordered (const Span *s)
+promotion_ordered (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "ctl %d \"promote group claims-db\" any",
-       draw (s->soak, 0, (int32_t) VMS - 1));
+  add_line (s->soak, s->at_ms, "ctl %d \"promote group claims-db\" any",
+       random_between (s->soak, 0, (int32_t) VMS - 1));
 }
 
 static void
-domain_cut (const Span *s)
+domain_partitioned (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "cut %s", domains[s->index]);
-  add (s->soak, s->until_ms, "heal %s", domains[s->index]);
+  add_line (s->soak, s->at_ms, "cut %s", domains[s->index]);
+  add_line (s->soak, s->until_ms, "heal %s", domains[s->index]);
 }
 
 static void
-link_fault (const Span *s, const char *json)
+link_fault (const FaultWindow *s, const char *json)
 {
-  add (s->soak, s->at_ms, "link %u '%s'", s->index, json);
-  add (s->soak, s->until_ms, "link %u '{}'", s->index);
+  add_line (s->soak, s->at_ms, "link %u '%s'", s->index, json);
+  add_line (s->soak, s->until_ms, "link %u '{}'", s->index);
 }
 
 static void
-link_delayed (const Span *s)
+link_delayed (const FaultWindow *s)
 {
   char json[48];
 
-  g_snprintf (json, sizeof json, "{\"delay_ms\":%d}", draw (s->soak, 1, 400));
+  g_snprintf (json, sizeof json, "{\"delay_ms\":%d}", random_between (s->soak, 1, 400));
   link_fault (s, json);
 }
 
 static void
-link_deaf (const Span *s)
+link_silent_in (const FaultWindow *s)
 {
   link_fault (s, "{\"silent_in\":true}");
 }
 
 static void
-link_mute (const Span *s)
+link_silent_out (const FaultWindow *s)
 {
   link_fault (s, "{\"silent_out\":true}");
 }
 
 static void
-link_reset (const Span *s)
+link_reset (const FaultWindow *s)
 {
-  add (s->soak, s->at_ms, "link %u '{\"reset\":true}'", s->index);
+  add_line (s->soak, s->at_ms, "link %u '{\"reset\":true}'", s->index);
 }
 
 static void
-platform_fault (const Span *s, const char *name, const char *value,
-                const char *usual)
+platform_fault (const FaultWindow *s, const char *name, const char *value,
+                const char *normal_value)
 {
-  add (s->soak, s->at_ms, "platform '{\"%s\":%s}'", name, value);
-  add (s->soak, s->until_ms, "platform '{\"%s\":%s}'", name, usual);
+  add_line (s->soak, s->at_ms, "platform '{\"%s\":%s}'", name, value);
+  add_line (s->soak, s->until_ms, "platform '{\"%s\":%s}'", name, normal_value);
 }
 
 static void
-platform_down (const Span *s)
+platform_down (const FaultWindow *s)
 {
   platform_fault (s, "down", "true", "false");
 }
 
 static void
-platform_slow (const Span *s)
+platform_slow (const FaultWindow *s)
 {
   char value[16];
 
-  g_snprintf (value, sizeof value, "%d", draw (s->soak, 1, 800));
+  g_snprintf (value, sizeof value, "%d", random_between (s->soak, 1, 800));
   platform_fault (s, "slow_ms", value, "0");
 }
 
 static void
-platform_loses_answers (const Span *s)
+platform_lost_responses (const FaultWindow *s)
 {
   char value[16];
 
-  g_snprintf (value, sizeof value, "%d", draw (s->soak, 1, 4));
+  g_snprintf (value, sizeof value, "%d", random_between (s->soak, 1, 4));
   platform_fault (s, "lose_after_effect", value, "0");
 }
 
 typedef struct
 {
-  Place place;
+  Resource resource;
   uint32_t weight; /* among all faults */
-  void (*plan) (const Span *span);
+  void (*schedule) (const FaultWindow *window);
 } Fault;
 
 static const Fault faults[] = {
-  { PLACE_VM, 4, vm_killed },
-  { PLACE_VM, 2, vm_stopped },
-  { PLACE_VM, 4, vm_frozen },
-  { PLACE_TARGET, 3, target_killed },
-  { PLACE_TARGET, 3, target_frozen },
-  { PLACE_TARGET, 2, target_slow },
-  { PLACE_TARGET, 2, target_lags },
-  { PLACE_TARGET, 1, target_connects_slowly },
-  { PLACE_TARGET, 1, target_drained },
-  { PLACE_GROUP, 2, promotion_ordered },
-  { PLACE_DOMAIN, 3, domain_cut },
-  { PLACE_LINK, 2, link_delayed },
-  { PLACE_LINK, 2, link_deaf },
-  { PLACE_LINK, 2, link_mute },
-  { PLACE_LINK, 2, link_reset },
-  { PLACE_PLATFORM, 2, platform_down },
-  { PLACE_PLATFORM, 1, platform_slow },
-  { PLACE_PLATFORM, 2, platform_loses_answers },
+  { RESOURCE_VM, 4, vm_killed },
+  { RESOURCE_VM, 2, vm_stopped },
+  { RESOURCE_VM, 4, vm_frozen },
+  { RESOURCE_TARGET, 3, target_killed },
+  { RESOURCE_TARGET, 3, target_frozen },
+  { RESOURCE_TARGET, 2, target_slow },
+  { RESOURCE_TARGET, 2, target_lagging },
+  { RESOURCE_TARGET, 1, target_slow_connect },
+  { RESOURCE_TARGET, 1, target_drained },
+  { RESOURCE_GROUP, 2, promotion_ordered },
+  { RESOURCE_DOMAIN, 3, domain_partitioned },
+  { RESOURCE_LINK, 2, link_delayed },
+  { RESOURCE_LINK, 2, link_silent_in },
+  { RESOURCE_LINK, 2, link_silent_out },
+  { RESOURCE_LINK, 2, link_reset },
+  { RESOURCE_PLATFORM, 2, platform_down },
+  { RESOURCE_PLATFORM, 1, platform_slow },
+  { RESOURCE_PLATFORM, 2, platform_lost_responses },
 };
 
 /* --- the plan --- */
 
 static const Fault *
-draw_fault (Soak *soak)
+choose_fault (Soak *soak)
 {
   uint32_t all = 0;
   uint32_t at;
@@ -293,10 +293,10 @@
 }
 
 static bool
-is_any_busy (const Soak *soak, Place place, int64_t at_ms)
+is_any_busy (const Soak *soak, Resource resource, int64_t at_ms)
 {
-  for (uint32_t i = 0; i < place_sizes[place]; i++)
-    if (soak->busy_until_ms[place][i] > at_ms)
+  for (uint32_t i = 0; i < resource_sizes[resource]; i++)
+    if (soak->busy_until_ms[resource][i] > at_ms)
       return true;
   return false;
 }
@@ -307,29 +307,29 @@
 static bool
 is_free (const Soak *soak, const Fault *fault, uint32_t index, int64_t at_ms)
 {
-  if (soak->busy_until_ms[fault->place][index] > at_ms)
+  if (soak->busy_until_ms[fault->resource][index] > at_ms)
     return false;
-  if (fault->place == PLACE_DOMAIN)
-    return !is_any_busy (soak, PLACE_TARGET, at_ms)
-           && !is_any_busy (soak, PLACE_DOMAIN, at_ms);
-  return fault->place != PLACE_TARGET
-         || !is_any_busy (soak, PLACE_DOMAIN, at_ms);
+  if (fault->resource == RESOURCE_DOMAIN)
+    return !is_any_busy (soak, RESOURCE_TARGET, at_ms)
+           && !is_any_busy (soak, RESOURCE_DOMAIN, at_ms);
+  return fault->resource != RESOURCE_TARGET
+         || !is_any_busy (soak, RESOURCE_DOMAIN, at_ms);
 }
 
 static bool
 plan_fault (Soak *soak, int64_t at_ms)
 {
-  const Fault *fault = draw_fault (soak);
-  Span s = { .soak = soak, .at_ms = at_ms };
+  const Fault *fault = choose_fault (soak);
+  FaultWindow s = { .soak = soak, .at_ms = at_ms };
 
   s.index = (uint32_t) g_rand_int_range (soak->rand, 0,
-                                         (gint32) place_sizes[fault->place]);
+                                         (gint32) resource_sizes[fault->resource]);
   s.until_ms
-      = MIN (at_ms + draw (soak, FAULT_MIN_MS, FAULT_MAX_MS), soak->end_ms);
+      = MIN (at_ms + random_between (soak, FAULT_MIN_MS, FAULT_MAX_MS), soak->faults_end_ms);
   if (!is_free (soak, fault, s.index, at_ms))
     return false;
-  soak->busy_until_ms[fault->place][s.index] = s.until_ms + FAULT_MIN_MS;
-  fault->plan (&s);
+  soak->busy_until_ms[fault->resource][s.index] = s.until_ms + FAULT_MIN_MS;
+  fault->schedule (&s);
   return true;
 }
 
@@ -355,20 +355,20 @@
 
 /* Times first, so that what is busy is known in order. */
 static void
-plan (Soak *soak)
+plan_faults (Soak *soak)
 {
   GArray *times = g_array_new (FALSE, FALSE, sizeof (int64_t));
 
   for (int32_t i = 0; i < soak->faults; i++)
     {
-      int64_t at_ms = draw (soak, (int32_t) soak->begin_ms,
-                            (int32_t) soak->end_ms - FAULT_MIN_MS);
+      int64_t at_ms = random_between (soak, (int32_t) soak->faults_begin_ms,
+                            (int32_t) soak->faults_end_ms - FAULT_MIN_MS);
 
       g_array_append_val (times, at_ms);
     }
   g_array_sort (times, compare_numbers);
   for (guint i = 0; i < times->len; i++)
-    for (uint32_t tries = 0; tries < DRAWS; tries++)
+    for (uint32_t tries = 0; tries < FAULT_TRIES_MAX; tries++)
       if (plan_fault (soak, g_array_index (times, int64_t, i)))
         break;
   g_array_free (times, TRUE);
@@ -417,8 +417,8 @@
   printf ("deployment vms=%d servers=%d\n", VMS_PER_DOMAIN, SERVERS);
   printf ("load callers=16 seconds=%d writes=50 transactions=%d ids=%d "
           "roam=10 tokens=50 think-ms=4 seed=%d\n",
-          soak->seconds, draw (soak, 0, 60), draw (soak, 0, 60), seed);
-  plan (soak);
+          soak->seconds, random_between (soak, 0, 60), random_between (soak, 0, 60), seed);
+  plan_faults (soak);
   print_lines (soak);
   print_checks ();
 }
@@ -435,7 +435,7 @@
 int
 main (int argc, char **argv)
 {
-  Soak soak = { .seconds = 14, .faults = 8, .begin_ms = QUIET_START_MS };
+  Soak soak = { .seconds = 14, .faults = 8, .faults_begin_ms = QUIET_START_MS };
   const GOptionEntry options[] = {
     { "seconds", 0, 0, G_OPTION_ARG_INT, &soak.seconds, "Length of the load",
       "S" },
@@ -456,7 +456,7 @@
       return 2;
     }
   g_option_context_free (context);
-  soak.end_ms = soak.seconds * 1000 - QUIET_END_MS;
+  soak.faults_end_ms = soak.seconds * 1000 - QUIET_END_MS;
   soak.rand = g_rand_new_with_seed ((guint32) atoi (argv[1]));
   soak.lines = g_ptr_array_new_with_free_func (line_free);
   print_scenario (&soak, atoi (argv[1]));
