--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -284,16 +284,15 @@
 main (int argc, char **argv)
 {
   static const GOptionEntry entries[] = {
-    { "address", 0, 0, G_OPTION_ARG_STRING, &bench.address, "Server address",
+    { "address", 0, 0, G_OPTION_ARG_STRING, &bench.address, "Address",
       "IP:PORT" },
     { "database", 0, 0, G_OPTION_ARG_STRING, &bench.database,
       "Name of the service", "NAME" },
     { "options", 0, 0, G_OPTION_ARG_STRING, &bench.options,
       "Session settings, as the libpq option \"options\"", "TEXT" },
-    { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement to run", "SQL" },
-    { "callers", 0, 0, G_OPTION_ARG_INT, &bench.callers,
-      "Number of connections", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Duration", "S" },
+    { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement", "SQL" },
+    { "callers", 0, 0, G_OPTION_ARG_INT, &bench.callers, "Connections", "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Length", "S" },
     { "rate", 0, 0, G_OPTION_ARG_INT, &bench.rate,
       "Statements per second (open loop)", "N" },
     { "idle", 0, 0, G_OPTION_ARG_NONE, &bench.idle,
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -560,9 +560,8 @@
     { "admin", 0, 0, G_OPTION_ARG_STRING_ARRAY, &load.admins,
       "Address of a vm's admin API", "IP:PORT" },
     { "service", 0, 0, G_OPTION_ARG_STRING, &load.service, "Service", "NAME" },
-    { "callers", 0, 0, G_OPTION_ARG_INT, &load.callers, "Number of callers",
-      "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Duration", "S" },
+    { "callers", 0, 0, G_OPTION_ARG_INT, &load.callers, "Callers", "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Length", "S" },
     { "writes", 0, 0, G_OPTION_ARG_INT, &load.write_percent,
       "Share of writes in percent", "P" },
     { "ids", 0, 0, G_OPTION_ARG_INT, &load.id_percent,
@@ -589,7 +588,7 @@
       "Each caller has its own user name; reads are checked for its own "
       "writes only",
       NULL },
-    { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "Random seed", "N" },
+    { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "Seed", "N" },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
   GOptionContext *context
--- a/bench/ss_scenario.c
+++ b/bench/ss_scenario.c
@@ -146,7 +146,7 @@
           (uint32_t) atoi (option (argv, "vms", "2")),
           (uint32_t) atoi (option (argv, "servers", "3"))))
     return true;
-  return fail (run, "the deployment did not become ready in time");
+  return fail (run, "the deployment could not be started");
 }
 
 static bool
@@ -289,11 +289,11 @@
 
   if (argv[1] && strcmp (argv[1], "ready") == 0)
     return (p && ss_deploy_wait_ready (&run->deploy, index, AWAIT_TIMEOUT_MS))
-           || fail (run, "the vm did not become ready in time");
+           || fail (run, "no such vm, or it did not become ready in time");
   if (argv[1] && strcmp (argv[1], "exit") == 0)
     {
       if (!p || !ss_deploy_wait_exit (p, AWAIT_TIMEOUT_MS, &code))
-        return fail (run, "the process did not exit in time");
+        return fail (run, "no such process, or it did not exit in time");
       return code == 0 || fail (run, "the process exited with status %d", code);
     }
   while (now_ms () < deadline_ms && !interrupted)
