--- a/bench/load.h
+++ b/bench/load.h
@@ -34,7 +34,7 @@
   int32_t write_percent;
   int32_t id_percent;
   int32_t transaction_percent;
-  int32_t aged_percent;
+  int32_t bounded_percent;
   int32_t reconnect_percent;
   int32_t token_percent;
   int32_t think_ms;
@@ -42,7 +42,7 @@
   int32_t writer_think_ms; /* -1: think_ms */
   gboolean identity;       /* each caller connects as its own user */
   int64_t staleness_ms;
-  char *aged_kind;
+  char *bounded_kind;
   int64_t started_ms;
   int64_t stop_ms;
   int32_t live_callers;
--- a/bench/load_ops.c
+++ b/bench/load_ops.c
@@ -80,17 +80,17 @@
 static void
 build_read (Caller *c)
 {
-  bool aged = c->op == OP_READ_AGED;
+  bool bounded = c->op == OP_READ_AGED;
 
   load_clear_steps (c);
   c->expected_write = c->last_acknowledged;
-  if (aged)
+  if (bounded)
     c->expected_write = pick_acknowledged (load_now_ms () - load.staleness_ms);
   if (c->op == OP_READ_ANY)
     c->expected_write = pick_acknowledged (c->must_see_ms);
   c->may_be_absent = c->op == OP_READ_ANY && load.identity;
   add_step (c, g_strdup_printf ("SET sapphirestair.kind = '%s'",
-                                aged ? load.aged_kind : "session"));
+                                bounded ? load.bounded_kind : "session"));
   add_step (
       c, g_strdup_printf ("SELECT value FROM " TABLE " WHERE key = '%s'",
                           c->expected_write ? c->expected_write->key : "none"));
@@ -102,7 +102,7 @@
 {
   if (c->number < load.readers)
     {
-      c->op = load_chance (load.aged_percent) ? OP_READ_AGED : OP_READ_ANY;
+      c->op = load_chance (load.bounded_percent) ? OP_READ_AGED : OP_READ_ANY;
       return;
     }
   if (!c->last_acknowledged || load_chance (load.write_percent))
@@ -114,7 +114,7 @@
         c->op = OP_WRITE_WITH_ID;
       return;
     }
-  c->op = load_chance (load.aged_percent) ? OP_READ_AGED : OP_READ_OWN;
+  c->op = load_chance (load.bounded_percent) ? OP_READ_AGED : OP_READ_OWN;
 }
 
 bool
--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -286,8 +286,8 @@
   static const GOptionEntry entries[] = {
     { "address", 0, 0, G_OPTION_ARG_STRING, &bench.address, "Address",
       "IP:PORT" },
-    { "database", 0, 0, G_OPTION_ARG_STRING, &bench.database,
-      "Name of the service", "NAME" },
+    { "database", 0, 0, G_OPTION_ARG_STRING, &bench.database, "Service",
+      "NAME" },
     { "options", 0, 0, G_OPTION_ARG_STRING, &bench.options,
       "Session settings, as the libpq option \"options\"", "TEXT" },
     { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement", "SQL" },
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -568,9 +568,9 @@
       "Share of writes with a request id", "P" },
     { "transactions", 0, 0, G_OPTION_ARG_INT, &load.transaction_percent,
       "Share of writes in transactions", "P" },
-    { "aged", 0, 0, G_OPTION_ARG_INT, &load.aged_percent,
+    { "aged", 0, 0, G_OPTION_ARG_INT, &load.bounded_percent,
       "Share of reads with bounded staleness", "P" },
-    { "aged-kind", 0, 0, G_OPTION_ARG_STRING, &load.aged_kind,
+    { "aged-kind", 0, 0, G_OPTION_ARG_STRING, &load.bounded_kind,
       "Kind of the reads with bounded staleness", "NAME" },
     { "staleness-ms", 0, 0, G_OPTION_ARG_INT, &staleness_ms,
       "Staleness bound of these reads", "MS" },
@@ -601,12 +601,12 @@
   load.write_percent = 20;
   load.id_percent = 50;
   load.transaction_percent = 20;
-  load.aged_percent = 50;
+  load.bounded_percent = 50;
   load.reconnect_percent = 10;
   load.token_percent = 50;
   load.think_ms = 2;
   load.writer_think_ms = -1;
-  load.aged_kind = (char *) "report";
+  load.bounded_kind = (char *) "report";
   load.service = "claims";
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, &error) || !load.entries)
