--- a/bench/control.sh
+++ b/bench/control.sh
@@ -6,7 +6,7 @@
 cd "$(dirname "$0")/.."
 file=$(mktemp)
 trap 'rm -f "$file"' EXIT
-measure() { # domains, vms per domain, servers, label
+measure() { # domains, VMs per domain, servers, label
   cat >"$file" <<S
 deployment domains=$1 vms=$2 servers=$3
 wait 3000
--- a/bench/deploy.c
+++ b/bench/deploy.c
@@ -365,7 +365,7 @@
 }
 
 /* Starts the relay that connects the VMs, so that partitions can be simulated.
- * Each VM has an advertised address at the relay, which identifies it.
+ * The relay identifies the VMs by their addresses.
  */
 static bool
 start_network (SsDeploy *d)
