--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# Control traffic and processor time of idle VMs at 2, 4 and 8 VMs (one, two and
-# four failure domains), and with callers: the slopes for docs/CAPACITY.md.
+# Measures control traffic, platform calls, CPU time and memory of one idle VM
+# with 2 to 12 VMs in one to three failure domains and 1 to 9 servers.
+# The slopes in docs/CAPACITY.md come from these figures.
 set -eu
 cd "$(dirname "$0")/.."
 file=$(mktemp)
 trap 'rm -f "$file"' EXIT
-measure() { # domains, vms per domain, servers, label
+measure() { # domains, VMs per domain, servers, label
   cat >"$file" <<S
 deployment domains=$1 vms=$2 servers=$3
 wait 3000
--- a/bench/ss_scenario.c
+++ b/bench/ss_scenario.c
@@ -1,5 +1,7 @@
-/* ss-scenario: runs a scenario, a file of one command a line, against real
- * processes on loopback.  tests/scenario/README.md describes the language.
+/* ss-scenario: runs scenario files against real processes on loopback.
+ *
+ * A scenario has one command per line.  tests/scenario/README.md describes the
+ * language.
  */
 #include <jansson.h>
 #include <signal.h>
@@ -12,16 +14,16 @@
 
 #include "bench/deploy.h"
 
-#define AWAIT_BOUND_MS 30000
-#define STEP_US 20000
+#define AWAIT_TIMEOUT_MS 30000
+#define POLL_INTERVAL_US 20000
 
 typedef struct
 {
   SsDeploy deploy;
-  json_t *result; /* of the last load */
+  json_t *result; /* report of the last load */
   char *result_text;
-  int32_t primary; /* as of the last "note primary" */
-  int32_t owner;   /* vm that owned it when first asked; -1: not asked */
+  int32_t primary; /* target at the last "note primary"; -1: none */
+  int32_t owner;   /* VM that owned it when first looked up; -1: unknown */
   const char *path;
   uint32_t line;
 } Run;
@@ -47,7 +49,7 @@
   return false;
 }
 
-/* The value of "name=value" among ARGV, or FALLBACK. */
+/* Returns the value of "NAME=value" among ARGV, or FALLBACK. */
 static const char *
 option (char **argv, const char *name, const char *fallback)
 {
@@ -59,15 +61,15 @@
   return fallback;
 }
 
-/* The vm that owns the noted primary. */
-static SsDeployed *
+/* Returns the VM that owned the noted primary when first looked up, or NULL. */
+static SsDeployProcess *
 find_owner (Run *run, uint32_t *index)
 {
   SsDeploy *d = &run->deploy;
   char *url;
   char *command;
   char *answer = NULL;
-  SsDeployed *found = NULL;
+  SsDeployProcess *found = NULL;
   json_t *json;
   const char *name;
 
@@ -100,7 +102,8 @@
   return found;
 }
 
-static SsDeployed *
+/* Returns the process that ARGV[1] and ARGV[2] name, or NULL. */
+static SsDeployProcess *
 find_process (Run *run, char **argv, uint32_t *index)
 {
   SsDeploy *d = &run->deploy;
@@ -134,7 +137,7 @@
 {
   run->deploy.max_connections
       = (uint32_t) atoi (option (argv, "connections", "20"));
-  run->deploy.lookup_staleness_ms
+  run->deploy.report_staleness_ms
       = (uint32_t) atoi (option (argv, "staleness_ms", "30000"));
   run->deploy.identity = option (argv, "identity", "none");
   if (ss_deploy_start (
@@ -143,7 +146,7 @@
           (uint32_t) atoi (option (argv, "vms", "2")),
           (uint32_t) atoi (option (argv, "servers", "3"))))
     return true;
-  return fail (run, "the deployment did not come up");
+  return fail (run, "the deployment could not be started");
 }
 
 static bool
@@ -157,17 +160,17 @@
   g_ptr_array_add (arguments, NULL);
   ok = ss_deploy_load (&run->deploy, (char **) arguments->pdata);
   g_ptr_array_free (arguments, TRUE);
-  return ok || fail (run, "the load did not start");
+  return ok || fail (run, "ss-load could not be started");
 }
 
 static bool
 do_wait (Run *run, char **argv)
 {
-  int64_t due_ms = now_ms () + atoi (argv[1] ? argv[1] : "0");
+  int64_t deadline_ms = now_ms () + atoi (argv[1] ? argv[1] : "0");
 
   (void) run;
-  while (now_ms () < due_ms && !interrupted)
-    g_usleep (STEP_US);
+  while (now_ms () < deadline_ms && !interrupted)
+    g_usleep (POLL_INTERVAL_US);
   return true;
 }
 
@@ -175,10 +178,10 @@
 do_signal (Run *run, char **argv)
 {
   uint32_t index;
-  SsDeployed *p = find_process (run, argv, &index);
+  SsDeployProcess *p = find_process (run, argv, &index);
 
   if (!p || !p->pid)
-    return fail (run, "no such process");
+    return fail (run, "no such process, or it is not running");
   if (strcmp (argv[0], "kill") == 0)
     ss_deploy_signal (p, SIGKILL);
   else if (strcmp (argv[0], "freeze") == 0)
@@ -195,42 +198,43 @@
 do_start (Run *run, char **argv)
 {
   uint32_t index;
-  SsDeployed *p = find_process (run, argv, &index);
+  SsDeployProcess *p = find_process (run, argv, &index);
 
   if (!p || p->pid)
-    return fail (run, "no such process, or it runs already");
+    return fail (run, "no such process, or it is already running");
   if (p >= run->deploy.vms && p < run->deploy.vms + SS_DEPLOY_MAX)
     return ss_deploy_start_vm (&run->deploy, index);
   return ss_deploy_start_target (&run->deploy, index);
 }
 
 static bool
-do_cut (Run *run, char **argv)
+do_partition (Run *run, char **argv)
 {
-  bool cut = strcmp (argv[0], "cut") == 0;
+  bool partitioned = strcmp (argv[0], "cut") == 0;
 
-  if (!argv[1] || !ss_deploy_cut_domain (&run->deploy, argv[1], cut))
-    return fail (run, "can't %s that domain", argv[0]);
+  if (!argv[1]
+      || !ss_deploy_partition_domain (&run->deploy, argv[1], partitioned))
+    return fail (run, "can't %s the failure domain", argv[0]);
   return true;
 }
 
-/* "link N JSON" */
+/* "link VM JSON" */
 static bool
 do_link (Run *run, char **argv)
 {
   uint32_t vm = argv[1] ? (uint32_t) atoi (argv[1]) : 0;
 
   if (!argv[1] || !argv[2] || vm >= run->deploy.vm_count
-      || !ss_deploy_link (&run->deploy, vm, argv[2]))
-    return fail (run, "the network refused the fault");
+      || !ss_deploy_set_link_faults (&run->deploy, vm, argv[2]))
+    return fail (run, "no such vm, or ss-standin-network rejected the fault");
   return true;
 }
 
 static bool
 do_platform (Run *run, char **argv)
 {
-  if (!argv[1] || !ss_deploy_platform_control (&run->deploy, argv[1]))
-    return fail (run, "the platform refused the control");
+  if (!argv[1] || !ss_deploy_control_platform (&run->deploy, argv[1]))
+    return fail (run, "the stand-in platform rejected the control request");
   return true;
 }
 
@@ -238,20 +242,22 @@
 do_control (Run *run, char **argv)
 {
   uint32_t index = 0;
-  SsDeployed *p = find_process (run, argv, &index);
-  uint32_t at = argv[1] && strcmp (argv[1], "primary") == 0 ? 2 : 3;
+  SsDeployProcess *p = find_process (run, argv, &index);
+  uint32_t name_index = argv[1] && strcmp (argv[1], "primary") == 0 ? 2 : 3;
 
-  if (!p || !argv[at] || !argv[at + 1]
-      || !ss_deploy_control (p, argv[at], atoi (argv[at + 1])))
-    return fail (run, "the target refused the control");
+  if (!p || !argv[name_index] || !argv[name_index + 1]
+      || !ss_deploy_control_target (p, argv[name_index],
+                                    atoi (argv[name_index + 1])))
+    return fail (run, "no such target, or it rejected the control request");
   return true;
 }
 
 static bool
 do_put (Run *run, char **argv)
 {
-  if (!argv[1] || !argv[2] || !ss_deploy_put (&run->deploy, argv[1], argv[2]))
-    return fail (run, "the platform refused the object");
+  if (!argv[1] || !argv[2]
+      || !ss_deploy_put_object (&run->deploy, argv[1], argv[2]))
+    return fail (run, "the stand-in platform rejected the object");
   return true;
 }
 
@@ -275,54 +281,54 @@
 static bool
 do_await (Run *run, char **argv)
 {
-  int64_t due_ms = now_ms () + AWAIT_BOUND_MS;
+  int64_t deadline_ms = now_ms () + AWAIT_TIMEOUT_MS;
   uint32_t index = 0;
-  SsDeployed *p
+  SsDeployProcess *p
       = argv[1] && argv[2] ? find_process (run, argv + 1, &index) : NULL;
   int code = 0;
 
   if (argv[1] && strcmp (argv[1], "ready") == 0)
-    return (p && ss_deploy_wait_ready (&run->deploy, index, AWAIT_BOUND_MS))
-           || fail (run, "the vm is not ready");
+    return (p && ss_deploy_wait_ready (&run->deploy, index, AWAIT_TIMEOUT_MS))
+           || fail (run, "no such vm, or it did not become ready in time");
   if (argv[1] && strcmp (argv[1], "exit") == 0)
     {
-      if (!p || !ss_deploy_wait_exit (p, AWAIT_BOUND_MS, &code))
-        return fail (run, "the process did not end");
-      return code == 0 || fail (run, "the process ended with %d", code);
+      if (!p || !ss_deploy_wait_exit (p, AWAIT_TIMEOUT_MS, &code))
+        return fail (run, "no such process, or it did not exit in time");
+      return code == 0 || fail (run, "the process exited with status %d", code);
     }
-  while (now_ms () < due_ms && !interrupted)
+  while (now_ms () < deadline_ms && !interrupted)
     {
       if (primary_changed (run))
         return true;
-      g_usleep (STEP_US);
+      g_usleep (POLL_INTERVAL_US);
     }
-  return fail (run, "no new primary");
+  return fail (run, "no other target became primary in time");
 }
 
-/* "sql N SQL EXPECTED [options=...]" */
+/* "sql VM SQL EXPECTED [conninfo=...]"; "await-sql" retries until it matches */
 static bool
 do_sql (Run *run, char **argv)
 {
-  int64_t due_ms = now_ms () + AWAIT_BOUND_MS;
-  bool again = argv[0][0] == 'a';
+  int64_t deadline_ms = now_ms () + AWAIT_TIMEOUT_MS;
+  bool retry = argv[0][0] == 'a';
   char *answer;
   bool ok;
 
   if (!argv[1] || !argv[2] || !argv[3])
-    return fail (run, "sql needs a vm, a statement and what is expected");
+    return fail (run, "sql needs a vm, a statement and the expected answer");
   do
     {
       answer = ss_deploy_sql (&run->deploy, (uint32_t) atoi (argv[1]),
                               option (argv, "conninfo", ""), argv[2]);
       ok = strcmp (answer, argv[3]) == 0;
-      if (!ok && !again)
+      if (!ok && !retry)
         fail (run, "expected %s, got %s", argv[3], answer);
       g_free (answer);
-      if (!ok && again)
-        g_usleep (STEP_US);
+      if (!ok && retry)
+        g_usleep (POLL_INTERVAL_US);
     }
-  while (!ok && again && now_ms () < due_ms && !interrupted);
-  return ok || fail (run, "%s is not answered as expected", argv[2]);
+  while (!ok && retry && now_ms () < deadline_ms && !interrupted);
+  return ok || fail (run, "unexpected answer to: %s", argv[2]);
 }
 
 /* "ctl VM COMMAND [EXIT-CODE|any]" */
@@ -330,7 +336,7 @@
 do_ctl (Run *run, char **argv)
 {
   char *output = NULL;
-  int wanted = argv[1] && argv[2] && argv[3] ? atoi (argv[3]) : 0;
+  int expected_code = argv[1] && argv[2] && argv[3] ? atoi (argv[3]) : 0;
   int code;
 
   if (!argv[1] || !argv[2])
@@ -338,15 +344,17 @@
   code = ss_deploy_ctl (&run->deploy, (uint32_t) atoi (argv[1]), argv[2],
                         &output);
   if (argv[3] && strcmp (argv[3], "any") == 0)
-    wanted = code;
-  if (code != wanted)
-    fail (run, "sapphirectl ended with %d, expected %d: %s", code, wanted,
-          output);
+    expected_code = code;
+  if (code != expected_code)
+    fail (run, "sapphirectl exited with status %d, expected %d: %s", code,
+          expected_code, output);
   g_free (output);
-  return code == wanted;
+  return code == expected_code;
 }
 
-/* "race VM COMMAND VM COMMAND": both at the same moment; one is accepted. */
+/* "race VM COMMAND VM COMMAND": runs both concurrently and expects that exactly
+ * one is accepted.
+ */
 static bool
 do_race (Run *run, char **argv)
 {
@@ -354,7 +362,7 @@
   int accepted = 0;
 
   if (g_strv_length (argv) < 5)
-    return fail (run, "race needs two vms and their commands");
+    return fail (run, "race needs two vms with a command each");
   for (uint32_t i = 0; i < 2; i++)
     {
       children[i] = fork ();
@@ -373,12 +381,14 @@
       waitpid (children[i], &status, 0);
       accepted += WIFEXITED (status) && WEXITSTATUS (status) == 0 ? 1 : 0;
     }
-  return accepted == 1 || fail (run, "%d of the two were accepted", accepted);
+  return accepted == 1
+         || fail (run, "%d of the two commands were accepted, expected 1",
+                  accepted);
 }
 
-/* "run COMMAND": a shell command with the deployment's addresses in its
- * environment: SS_VM_n, SS_VM_PID_n, SS_TARGET_n, SS_PLATFORM, SS_DIRECTORY,
- * SS_OWNER and SS_OTHER (the noted primary's owner and a vm beside it).
+/* "run COMMAND": runs a shell command.  Its environment has the deployment's
+ * addresses: SS_VM_n, SS_VM_PID_n, SS_TARGET_n, SS_PLATFORM, SS_DIRECTORY,
+ * SS_OWNER (the owner of the noted primary) and SS_OTHER (a different VM).
  */
 static bool
 do_run (Run *run, char **argv)
@@ -408,7 +418,8 @@
       g_setenv ("SS_OWNER", d->vms[owner].ip, TRUE);
       g_setenv ("SS_OTHER", d->vms[owner ^ 1].ip, TRUE);
     }
-  return (argv[1] && system (argv[1]) == 0) || fail (run, "the command failed");
+  return (argv[1] && system (argv[1]) == 0)
+         || fail (run, "the shell command failed");
 }
 
 static bool
@@ -419,7 +430,7 @@
   g_free (run->result_text);
   run->result_text = ss_deploy_load_result (&run->deploy);
   run->result = json_loads (run->result_text, 0, NULL);
-  return run->result != NULL || fail (run, "the load gave no result");
+  return run->result != NULL || fail (run, "ss-load printed no result");
 }
 
 static bool
@@ -479,8 +490,8 @@
   { "thaw", do_signal },
   { "stop", do_signal },
   { "start", do_start },
-  { "cut", do_cut },
-  { "heal", do_cut },
+  { "cut", do_partition },
+  { "heal", do_partition },
   { "link", do_link },
   { "platform", do_platform },
   { "control", do_control },
@@ -518,7 +529,7 @@
         ok = commands[i].run (run, argv);
         goto done;
       }
-  fail (run, "no such command: %s", argv[0]);
+  fail (run, "unknown command: %s", argv[0]);
 done:
   g_strfreev (argv);
   return ok;
@@ -538,7 +549,7 @@
   bool ok = true;
 
   if (!g_file_get_contents (run->path, &text, NULL, NULL))
-    return fail (run, "can't be read");
+    return fail (run, "the file can't be read");
   lines = g_strsplit (text, "\n", -1);
   for (uint32_t i = 0; lines[i] && ok && !interrupted; i++)
     {
