--- a/tests/client.c
+++ b/tests/client.c
@@ -1,8 +1,9 @@
-/* ss-client: an ordinary libpq client and a rude one, against an entry vm.
+/* ss-client: checks an entry VM with libpq and with malformed input.
  *
  *   ss-client IP PORT SERVICE
  *
- * Prints what fails; exit status 0 where all is as expected.
+ * Prints each failed check.  The exit status is 0 if all checks pass, 1 if one
+ * fails and 2 for wrong arguments.
  */
 #include <arpa/inet.h>
 #include <libpq-fe.h>
@@ -40,7 +41,7 @@
 }
 
 static bool
-gives (PGconn *pq, const char *sql, const char *wanted)
+returns (PGconn *pq, const char *sql, const char *expected)
 {
   PGresult *r = PQexec (pq, sql);
   const char *got;
@@ -52,10 +53,10 @@
     got = PQresultErrorField (r, PG_DIAG_SQLSTATE);
   else
     got = PQcmdStatus (r);
-  ok = got && strcmp (got, wanted) == 0;
+  ok = got && strcmp (got, expected) == 0;
   if (!ok)
-    fprintf (stderr, "ss-client: %s gave %s, expected %s\n", sql,
-             got ? got : "(nothing)", wanted);
+    fprintf (stderr, "ss-client: %s returned %s, expected %s\n", sql,
+             got ? got : "(nothing)", expected);
   PQclear (r);
   return ok;
 }
@@ -75,22 +76,23 @@
             "UPDATE notes SET value = '2' WHERE key = '%s'", key);
   snprintf (select, sizeof select, "SELECT value FROM notes WHERE key = '%s'",
             key);
-  check (PQstatus (pq) == CONNECTION_OK, "an ordinary client is refused");
-  check (gives (pq, insert, "INSERT 0 1"), "INSERT");
-  check (gives (pq, select, "1"), "SELECT");
-  check (gives (pq, "BEGIN", "BEGIN"), "BEGIN");
-  check (gives (pq, update, "UPDATE 1"), "UPDATE");
-  check (PQtransactionStatus (pq) == PQTRANS_INTRANS, "status in a block");
-  check (gives (pq, "ROLLBACK", "ROLLBACK"), "ROLLBACK");
-  check (gives (pq, select, "1"), "SELECT after ROLLBACK");
-  check (gives (pq, "SELEKT", "42601"), "a syntax error's SQLSTATE");
+  check (PQstatus (pq) == CONNECTION_OK, "a libpq client is refused");
+  check (returns (pq, insert, "INSERT 0 1"), "INSERT");
+  check (returns (pq, select, "1"), "SELECT");
+  check (returns (pq, "BEGIN", "BEGIN"), "BEGIN");
+  check (returns (pq, update, "UPDATE 1"), "UPDATE");
+  check (PQtransactionStatus (pq) == PQTRANS_INTRANS,
+         "the transaction status after BEGIN");
+  check (returns (pq, "ROLLBACK", "ROLLBACK"), "ROLLBACK");
+  check (returns (pq, select, "1"), "SELECT after ROLLBACK");
+  check (returns (pq, "SELEKT", "42601"), "a syntax error's SQLSTATE");
   r = PQexecParams (pq, "SELECT $1", 1, NULL, (const char *const[]){ "1" },
                     NULL, NULL, 0);
   check (PQresultStatus (r) == PGRES_FATAL_ERROR
              && strcmp (PQresultErrorField (r, PG_DIAG_SQLSTATE), "0A000") == 0,
          "the extended protocol is not refused with 0A000");
   PQclear (r);
-  check (gives (pq, select, "1"), "the connection is not usable after 0A000");
+  check (returns (pq, select, "1"), "the connection is not usable after 0A000");
   PQfinish (pq);
 }
 
@@ -101,14 +103,14 @@
 
   for (int i = 0; i < 2; i++)
     {
-      check (gives (pq, "SET sapphirestair.request_id = 'once'", "SET"),
+      check (returns (pq, "SET sapphirestair.request_id = 'once'", "SET"),
              "SET request_id");
-      check (gives (pq, "INSERT INTO notes (key, value) VALUES ('b', '1')",
-                    "INSERT 0 1"),
+      check (returns (pq, "INSERT INTO notes (key, value) VALUES ('b', '1')",
+                      "INSERT 0 1"),
              "INSERT with a request id");
     }
-  check (gives (pq, "SELECT count(*) FROM notes WHERE key = 'b'", "1"),
-         "a repeat of a request id ran again");
+  check (returns (pq, "SELECT count(*) FROM notes WHERE key = 'b'", "1"),
+         "a write with a repeated request id ran again");
   PQfinish (pq);
 }
 
@@ -129,7 +131,7 @@
   PQclear (r);
   while ((r = PQgetResult (pq)))
     PQclear (r);
-  check (gives (pq, "SELECT value FROM notes WHERE key = 'a'", "1"),
+  check (returns (pq, "SELECT value FROM notes WHERE key = 'a'", "1"),
          "the connection is not usable after a cancel");
   PQfreeCancel (cancel);
   PQfinish (pq);
@@ -143,13 +145,15 @@
   check (PQstatus (pq) != CONNECTION_OK, "an unknown service is served");
   PQfinish (pq);
   pq = connect_to (service, "options='-c sapphirestair.token=x'");
-  check (PQstatus (pq) != CONNECTION_OK, "a malformed token is taken");
+  check (PQstatus (pq) != CONNECTION_OK, "a malformed token is accepted");
   PQfinish (pq);
 }
 
-/* Sends bytes and waits until the vm ends the connection. */
+/* Sends DATA and checks that the VM closes the connection; each read waits for
+ * 10 s at most.
+ */
 static void
-check_rude (const char *what, const void *data, size_t bytes)
+check_malformed (const char *what, const void *data, size_t bytes)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   struct timeval limit = { 10, 0 };
@@ -183,11 +187,13 @@
   check_request_id ();
   check_cancel ();
   check_refusals ();
-  check_rude ("version 2 is not refused", "\0\0\0\x08\0\2\0\0", 8);
-  check_rude ("an oversized start is not refused", "\x7f\0\0\0\0\3\0\0", 8);
-  check_rude ("pairs without an end are not refused", "\0\0\0\x0c\0\3\0\0user",
-              12);
-  check_rude ("silence is not ended", "", 0);
+  check_malformed ("protocol version 2 is not refused", "\0\0\0\x08\0\2\0\0",
+                   8);
+  check_malformed ("an oversized startup message is not refused",
+                   "\x7f\0\0\0\0\3\0\0", 8);
+  check_malformed ("unterminated startup parameters are not refused",
+                   "\0\0\0\x0c\0\3\0\0user", 12);
+  check_malformed ("a client that sends nothing is not disconnected", "", 0);
   check_statements ("c");
   return failures ? 1 : 0;
 }
--- a/tests/line_world.c
+++ b/tests/line_world.c
@@ -8,9 +8,9 @@
 #define START_MS 100000
 #define HANDSHAKE_MS 12
 #define ANSWER_MAX_MS 30
-#define THINK_MAX_MS 15
-#define SAY_MAX_MS 5000
-#define LAG_MS 20
+#define THINK_TIME_MAX_MS 15
+#define REPLY_MAX_MS 5000
+#define APPLY_LAG_MS 20
 #define PROMOTE_MS 300
 
 typedef struct
@@ -19,39 +19,41 @@
   SsEvent event;
   SsTargetResult result;
   GBytes *wire;
-  GStringChunk *texts; /* of the objects: the store goes on meanwhile */
+  /* Owns copies of the objects' texts: the objects may change before delivery.
+   */
+  GStringChunk *texts;
   char *cells[9];
   uint32_t cell_count;
   SsObject *objects;
-} Due;
+} ScheduledEvent;
 
-/* --- time --- */
+/* --- schedule --- */
 
 static int
-compare_due (gconstpointer a, gconstpointer b, gpointer data)
+compare_scheduled (gconstpointer a, gconstpointer b, gpointer data)
 {
-  const Due *x = a;
-  const Due *y = b;
+  const ScheduledEvent *x = a;
+  const ScheduledEvent *y = b;
 
   (void) data;
   return x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms;
 }
 
-static Due *
+static ScheduledEvent *
 schedule (LineWorld *w, int64_t after_ms, SsEventKind kind)
 {
-  Due *d = g_new0 (Due, 1);
+  ScheduledEvent *d = g_new0 (ScheduledEvent, 1);
 
   d->at_ms = w->now_ms + after_ms;
   d->event.kind = kind;
-  g_queue_insert_sorted (&w->due, d, compare_due, NULL);
+  g_queue_insert_sorted (&w->schedule, d, compare_scheduled, NULL);
   return d;
 }
 
 static void
-free_due (gpointer data)
+scheduled_free (gpointer data)
 {
-  Due *d = data;
+  ScheduledEvent *d = data;
 
   if (d->wire)
     g_bytes_unref (d->wire);
@@ -66,7 +68,8 @@
 /* --- violations --- */
 
 static void
-violate (LineWorld *w, const char *what, const char *label, const char *text)
+record_violation (LineWorld *w, const char *what, const char *label,
+                  const char *text)
 {
   if (!w->violations++)
     g_snprintf (w->first_violation, sizeof w->first_violation, "%s: %s %s",
@@ -76,14 +79,14 @@
 /* --- the platform --- */
 
 static void
-fill_objects (LineWorld *w, Due *d, SsWatch feed, bool all)
+fill_objects (LineWorld *w, ScheduledEvent *d, SsWatch watch, bool all)
 {
   GPtrArray *found = g_ptr_array_new ();
   uint32_t count = 0;
 
   for (GTreeNode *n = g_tree_node_first (w->objects); n;
        n = g_tree_node_next (n))
-    if (g_str_has_prefix (g_tree_node_key (n), ss_watch_prefix (feed)))
+    if (g_str_has_prefix (g_tree_node_key (n), ss_watch_prefix (watch)))
       g_ptr_array_add (found, n);
   d->objects = g_new0 (SsObject, found->len + 1);
   d->texts = g_string_chunk_new (1024);
@@ -98,7 +101,7 @@
       o->version = *(int64_t *) g_hash_table_lookup (w->versions, o->key);
     }
   g_ptr_array_free (found, TRUE);
-  d->event.platform_objects.feed = feed;
+  d->event.platform_objects.feed = watch;
   d->event.platform_objects.outcome
       = w->platform_down ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_DONE;
   d->event.platform_objects.objects = d->objects;
@@ -108,7 +111,7 @@
 }
 
 static void
-store (LineWorld *w, const char *key, const char *value)
+store_object (LineWorld *w, const char *key, const char *value)
 {
   int64_t *version = g_new (int64_t, 1);
 
@@ -120,14 +123,14 @@
 static void
 answer_put (LineWorld *w, const SsAction *a)
 {
-  Due *d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECT);
+  ScheduledEvent *d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECT);
   SsObject *o = &d->event.platform_object.object;
 
   d->event.platform_object.call = a->id;
   d->event.platform_object.outcome = SS_PLATFORM_UNKNOWN;
   if (w->platform_down)
     return;
-  store (w, a->name, a->text);
+  store_object (w, a->name, a->text);
   d->event.platform_object.outcome = SS_PLATFORM_DONE;
   d->cells[0] = g_strdup (a->name);
   d->cells[1] = g_strdup (a->text);
@@ -140,15 +143,15 @@
 
 static LineServer *find_server (LineWorld *w, const char *name);
 
-/* Every call has a higher fence than the one before. */
+/* Each promotion call must have a higher fencing token than the one before. */
 static void
 promote (LineWorld *w, const SsAction *a)
 {
-  Due *d = schedule (w, 4, SS_EVENT_PLATFORM_PROMOTED);
+  ScheduledEvent *d = schedule (w, 4, SS_EVENT_PLATFORM_PROMOTED);
 
-  if (a->number <= w->last_fence)
-    violate (w, "fence did not rise", a->name, a->text);
-  w->last_fence = a->number;
+  if (a->number <= w->last_fencing_token)
+    record_violation (w, "fencing token did not increase", a->name, a->text);
+  w->last_fencing_token = a->number;
   w->promotions++;
   w->promoted = find_server (w, a->text);
   w->promote_ms = w->now_ms + PROMOTE_MS;
@@ -159,13 +162,13 @@
 static void
 answer_platform (LineWorld *w, const SsAction *a)
 {
-  Due *d;
+  ScheduledEvent *d;
 
   switch (a->kind)
     {
     case SS_ACTION_PLATFORM_WATCH:
       if (a->number)
-        return; /* changes are told by line_world_put */
+        return; /* line_world_put delivers changes */
       d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECTS);
       fill_objects (w, d, (SsWatch) a->id, true);
       break;
@@ -191,7 +194,7 @@
   SsEvent e = { .kind = SS_EVENT_PLATFORM_OBJECTS };
   SsObject o = { 0 };
 
-  store (w, key, value);
+  store_object (w, key, value);
   o.key = key;
   o.value = value;
   o.value_bytes = (uint32_t) strlen (value);
@@ -233,8 +236,8 @@
   return primary;
 }
 
-/* A promotion lifts the bar of every replica; those that hear the new primary
- * follow it.
+/* Completes a promotion when it is due.  It clears the barred term of every
+ * server; the replicas that receive replication follow the new primary.
  */
 static void
 finish_promotion (LineWorld *w)
@@ -255,7 +258,7 @@
     }
 }
 
-/* Replicas receive at once and apply after their lag. */
+/* Replicas receive entries at once and apply them after their lag. */
 static void
 replicate (LineWorld *w)
 {
@@ -272,8 +275,8 @@
         continue;
       s->received = primary->received;
       if (ss_position_compare (s->applied, s->received) == 0)
-        s->dirty_ms = w->now_ms;
-      else if (w->now_ms - s->dirty_ms >= s->lag_ms)
+        s->in_sync_ms = w->now_ms;
+      else if (w->now_ms - s->in_sync_ms >= s->lag_ms)
         s->applied = s->received;
     }
 }
@@ -288,12 +291,12 @@
 {
   const SsSessionState *other;
   bool same;
-} Compare;
+} SettingsComparison;
 
 static gboolean
-compare_value (gpointer key, gpointer value, gpointer data)
+compare_setting (gpointer key, gpointer value, gpointer data)
 {
-  Compare *c = data;
+  SettingsComparison *c = data;
   const char *other
       = c->other->values ? g_tree_lookup (c->other->values, key) : NULL;
 
@@ -302,50 +305,57 @@
 }
 
 static bool
-has_same_values (const SsSessionState *a, const SsSessionState *b)
+has_same_settings (const SsSessionState *a, const SsSessionState *b)
 {
-  Compare c = { b, true };
+  SettingsComparison c = { b, true };
   gint count_a = a->values ? g_tree_nnodes (a->values) : 0;
   gint count_b = b->values ? g_tree_nnodes (b->values) : 0;
 
   if (count_a != count_b)
     return false;
   if (a->values)
-    g_tree_foreach (a->values, compare_value, &c);
+    g_tree_foreach (a->values, compare_setting, &c);
   return c.same;
 }
 
-/* What a caller's statement must find where it runs. */
+/* Checks the connection and the server that run a caller's statement against
+ * the state of its session.
+ */
 static void
-check_run (LineWorld *w, LineConnection *c, const char *label,
-           const SsStatement *st)
+check_execution (LineWorld *w, LineConnection *c, const char *label,
+                 const SsStatement *st)
 {
   LineSession *s = &w->sessions[session_of (label) - 1];
   const SsPrepared *p;
 
-  if (!has_same_values (&c->held, &s->state))
-    violate (w, "other values", label, c->server->name);
+  if (!has_same_settings (&c->state, &s->state))
+    record_violation (w, "settings differ", label, c->server->name);
   if (st->kind == SS_STATEMENT_EXECUTE)
     {
       const SsPrepared *wanted
-          = ss_session_state_prepared (&s->state, s->said.name);
+          = ss_session_state_prepared (&s->state, s->statement.name);
 
-      p = ss_session_state_prepared (&c->held, st->name);
+      p = ss_session_state_prepared (&c->state, st->name);
       if (!p || !wanted || strcmp (p->shape, wanted->shape) != 0
           || p->is_read != wanted->is_read)
-        violate (w, "other shape", label, c->server->name);
+        record_violation (w, "prepared statement differs", label,
+                          c->server->name);
     }
   if (s->status == 'T' && s->first_connection && s->first_connection != c->id)
-    violate (w, "other connection", label, c->server->name);
+    record_violation (w, "transaction changed connection", label,
+                      c->server->name);
   if (s->status == 'T')
     s->first_connection = c->id;
   if (s->status != 'T' && c->status != 'I')
-    violate (w, "inside a transaction", label, c->server->name);
+    record_violation (w, "connection has an open transaction", label,
+                      c->server->name);
   if (c->session && c->session != s->id)
-    violate (w, "inside another's transaction", label, c->server->name);
+    record_violation (w, "connection is in another session's transaction",
+                      label, c->server->name);
   if (s->status != 'T'
       && !ss_position_covers (c->server->applied, s->committed))
-    violate (w, "behind its own commit", label, c->server->name);
+    record_violation (w, "server lacks own commit of session", label,
+                      c->server->name);
 }
 
 static void
@@ -367,7 +377,7 @@
   replicate (w);
 }
 
-/* Runs TEXT; returns the fault. */
+/* Runs TEXT at the connection's server; returns the fault, if any. */
 static SsTargetFault
 run_statement (LineWorld *w, LineConnection *c, const char *label,
                const char *text)
@@ -382,7 +392,7 @@
   writes = st.kind == SS_STATEMENT_WRITE;
   if (st.kind == SS_STATEMENT_EXECUTE)
     {
-      const SsPrepared *p = ss_session_state_prepared (&c->held, st.name);
+      const SsPrepared *p = ss_session_state_prepared (&c->state, st.name);
 
       writes = p && !p->is_read;
       if (!p)
@@ -395,16 +405,16 @@
     goto done;
   if (label)
     {
-      check_run (w, c, label, &st);
+      check_execution (w, c, label, &st);
       count_run (w, label);
     }
   switch (st.kind)
     {
     case SS_STATEMENT_SET:
-      ss_session_state_set (&c->held, st.name, st.value);
+      ss_session_state_set (&c->state, st.name, st.value);
       break;
     case SS_STATEMENT_PREPARE:
-      ss_session_state_prepare (&c->held, st.name, st.value, st.is_read);
+      ss_session_state_prepare (&c->state, st.name, st.value, st.is_read);
       break;
     case SS_STATEMENT_BEGIN:
       c->status = 'T';
@@ -431,7 +441,7 @@
 }
 
 static void
-fill_status (LineServer *s, Due *d)
+fill_status (LineServer *s, ScheduledEvent *d)
 {
   d->cells[0] = g_strdup (s->role == SS_SERVER_PRIMARY ? "primary" : "replica");
   d->cells[1] = g_strdup_printf ("%" G_GUINT64_FORMAT, s->term);
@@ -447,11 +457,12 @@
   d->result.row_cells = d->cell_count;
 }
 
-/* Takes the position that TEXT begins with, by the number alone, as the
- * platform's servers do; returns what is left, or NULL where it is not there.
+/* Removes the floor that TEXT may begin with.  Compares only its offset, not
+ * its term, as the platform's servers do.  Returns the remaining text, or NULL
+ * if the server has not applied that offset.
  */
 static const char *
-take_floor (const LineServer *s, const char *text)
+strip_floor (const LineServer *s, const char *text)
 {
   SsPosition floor;
   char **parts;
@@ -468,7 +479,7 @@
 
 static SsTargetFault
 run_text (LineWorld *w, LineConnection *c, const char *label, const char *text,
-          Due *d)
+          ScheduledEvent *d)
 {
   LineServer *s = c->server;
 
@@ -481,7 +492,7 @@
     }
   if (strcmp (text, "RESET") == 0)
     {
-      ss_session_state_finish (&c->held);
+      ss_session_state_finish (&c->state);
       return SS_TARGET_FAULT_NONE;
     }
   if (strcmp (text, "RESUME") == 0)
@@ -501,12 +512,12 @@
     }
   if (g_rand_int_range (w->rand, 0, 1000) < (gint32) w->busy_permille)
     return SS_TARGET_FAULT_BUSY;
-  text = take_floor (s, text);
+  text = strip_floor (s, text);
   return text ? run_statement (w, c, label, text) : SS_TARGET_FAULT_BEHIND;
 }
 
 static bool
-is_lost (LineWorld *w, const char *label)
+loses_answer (LineWorld *w, const char *label)
 {
   if (label && w->lose_next)
     {
@@ -518,18 +529,18 @@
 }
 
 static void
-query (LineWorld *w, const SsAction *a)
+handle_query (LineWorld *w, const SsAction *a)
 {
   LineConnection *c = g_hash_table_lookup (w->connections, &a->id);
   int64_t after_ms = 1 + g_rand_int_range (w->rand, 0, ANSWER_MAX_MS);
-  Due *d;
+  ScheduledEvent *d;
 
   if (!c)
     return;
   replicate (w);
   d = schedule (w, after_ms, SS_EVENT_TARGET_RESULT);
   d->result.fault = run_text (w, c, a->label, a->text, d);
-  if (is_lost (w, a->label))
+  if (loses_answer (w, a->label))
     {
       d->event.kind = SS_EVENT_TARGET_CLOSED;
       d->event.target.connection = c->id;
@@ -551,7 +562,7 @@
 {
   LineConnection *c = data;
 
-  ss_session_state_finish (&c->held);
+  ss_session_state_finish (&c->state);
   g_free (c);
 }
 
@@ -559,7 +570,7 @@
 connect_server (LineWorld *w, const SsAction *a)
 {
   LineConnection *c = g_new0 (LineConnection, 1);
-  Due *d = schedule (w, HANDSHAKE_MS, SS_EVENT_TARGET_READY);
+  ScheduledEvent *d = schedule (w, HANDSHAKE_MS, SS_EVENT_TARGET_READY);
 
   c->id = a->id;
   c->server = find_server (w, a->name);
@@ -576,7 +587,7 @@
 /* --- callers --- */
 
 static void
-take_reply (LineWorld *w, const SsAction *a)
+handle_reply (LineWorld *w, const SsAction *a)
 {
   LineSession *s = &w->sessions[a->id - 1];
   bool ran = a->verdict == SS_VERDICT_RAN;
@@ -586,15 +597,16 @@
   s->waits = false;
   s->verdict = a->verdict;
   s->reason = a->reason;
-  s->speak_ms = w->now_ms + g_rand_int_range (w->rand, 0, THINK_MAX_MS);
-  if (ran && s->said.kind == SS_STATEMENT_SET)
-    ss_session_state_set (&s->state, s->said.name, s->said.value);
-  if (ran && s->said.kind == SS_STATEMENT_PREPARE)
-    ss_session_state_prepare (&s->state, s->said.name, s->said.value,
-                              s->said.is_read);
+  s->next_statement_ms
+      = w->now_ms + g_rand_int_range (w->rand, 0, THINK_TIME_MAX_MS);
+  if (ran && s->statement.kind == SS_STATEMENT_SET)
+    ss_session_state_set (&s->state, s->statement.name, s->statement.value);
+  if (ran && s->statement.kind == SS_STATEMENT_PREPARE)
+    ss_session_state_prepare (&s->state, s->statement.name, s->statement.value,
+                              s->statement.is_read);
   if (ran
-      && (s->said.kind == SS_STATEMENT_WRITE
-          || s->said.kind == SS_STATEMENT_COMMIT)
+      && (s->statement.kind == SS_STATEMENT_WRITE
+          || s->statement.kind == SS_STATEMENT_COMMIT)
       && a->transaction_status == 'I')
     s->committed = s->committing;
   s->status = a->transaction_status ? a->transaction_status : 'I';
@@ -606,7 +618,7 @@
 }
 
 static void
-take_peer_message (LineWorld *w, const SsAction *a)
+handle_peer_message (LineWorld *w, const SsAction *a)
 {
   gsize bytes;
   const uint8_t *data = g_bytes_get_data (a->bytes, &bytes);
@@ -618,7 +630,7 @@
 }
 
 static void
-take_actions (LineWorld *w)
+execute_actions (LineWorld *w)
 {
   SsAction a;
 
@@ -630,16 +642,16 @@
           connect_server (w, &a);
           break;
         case SS_ACTION_TARGET_QUERY:
-          query (w, &a);
+          handle_query (w, &a);
           break;
         case SS_ACTION_TARGET_CLOSE:
           g_hash_table_remove (w->connections, &a.id);
           break;
         case SS_ACTION_CALLER_REPLY:
-          take_reply (w, &a);
+          handle_reply (w, &a);
           break;
         case SS_ACTION_PEER_SEND:
-          take_peer_message (w, &a);
+          handle_peer_message (w, &a);
           break;
         default:
           answer_platform (w, &a);
@@ -666,20 +678,20 @@
 }
 
 static void
-speak (LineWorld *w, LineSession *s, const char *text)
+send_statement (LineWorld *w, LineSession *s, const char *text)
 {
   const SsDialect *d = ss_dialect_line ();
   SsEvent e = { .kind = SS_EVENT_CALLER_STATEMENT };
 
-  ss_statement_finish (&s->said);
-  d->parse (d, text, &s->said);
+  ss_statement_finish (&s->statement);
+  d->parse (d, text, &s->statement);
   s->statements++;
   s->waits = true;
   e.caller_statement.caller = s->id;
   e.caller_statement.label = line_world_last_label (w, s->id);
   e.caller_statement.sql = text;
   ss_node_on_event (&w->node, &e, w->now_ms);
-  take_actions (w);
+  execute_actions (w);
 }
 
 void
@@ -697,13 +709,13 @@
   e.peer_message.data_bytes = (uint32_t) bytes;
   ss_node_on_event (&w->node, &e, w->now_ms);
   g_free (data);
-  take_actions (w);
+  execute_actions (w);
 }
 
-/* --- time passes --- */
+/* --- running --- */
 
 static bool
-is_alive (LineWorld *w, const SsEvent *e)
+is_deliverable (LineWorld *w, const SsEvent *e)
 {
   switch (e->kind)
     {
@@ -719,32 +731,32 @@
 }
 
 static void
-deliver (LineWorld *w, Due *d)
+deliver (LineWorld *w, ScheduledEvent *d)
 {
-  if (is_alive (w, &d->event))
+  if (is_deliverable (w, &d->event))
     {
       if (d->event.kind == SS_EVENT_TARGET_CLOSED)
         g_hash_table_remove (w->connections, &d->event.target.connection);
       ss_node_on_event (&w->node, &d->event, w->now_ms);
     }
-  free_due (d);
-  take_actions (w);
+  scheduled_free (d);
+  execute_actions (w);
 }
 
 static void
 step (LineWorld *w)
 {
   SsEvent tick = { .kind = SS_EVENT_TICK };
-  Due *d;
+  ScheduledEvent *d;
 
   w->now_ms++;
   replicate (w);
-  while ((d = g_queue_peek_head (&w->due)) && d->at_ms <= w->now_ms)
-    deliver (w, g_queue_pop_head (&w->due));
+  while ((d = g_queue_peek_head (&w->schedule)) && d->at_ms <= w->now_ms)
+    deliver (w, g_queue_pop_head (&w->schedule));
   if (ss_node_next_deadline (&w->node) > w->now_ms)
     return;
   ss_node_on_event (&w->node, &tick, w->now_ms);
-  take_actions (w);
+  execute_actions (w);
 }
 
 void
@@ -757,7 +769,7 @@
 void
 line_world_start (LineWorld *w, uint32_t session, const char *text)
 {
-  speak (w, &w->sessions[session - 1], text);
+  send_statement (w, &w->sessions[session - 1], text);
 }
 
 bool
@@ -765,8 +777,8 @@
 {
   LineSession *s = &w->sessions[session - 1];
 
-  speak (w, s, text);
-  for (int64_t i = 0; i < SAY_MAX_MS && s->waits; i++)
+  send_statement (w, s, text);
+  for (int64_t i = 0; i < REPLY_MAX_MS && s->waits; i++)
     step (w);
   return !s->waits;
 }
@@ -792,7 +804,7 @@
 /* --- random sessions --- */
 
 static void
-say_something (LineWorld *w, LineSession *s)
+send_random_statement (LineWorld *w, LineSession *s)
 {
   static const char *const outside[]
       = { "READ 1a",        "READ 2b", "WRITE 1a x", "EXECUTE p 3c",
@@ -820,8 +832,8 @@
   else
     text = g_strdup (
         outside[g_rand_int_range (w->rand, 0, G_N_ELEMENTS (outside))]);
-  s->left--;
-  speak (w, s, text);
+  s->remaining--;
+  send_statement (w, s, text);
   g_free (text);
 }
 
@@ -829,7 +841,7 @@
 is_done (const LineWorld *w)
 {
   for (uint32_t i = 0; i < w->session_count; i++)
-    if (w->sessions[i].left || w->sessions[i].waits)
+    if (w->sessions[i].remaining || w->sessions[i].waits)
       return false;
   return true;
 }
@@ -838,21 +850,21 @@
 line_world_mingle (LineWorld *w, uint32_t statements)
 {
   for (uint32_t i = 0; i < w->session_count; i++)
-    w->sessions[i].left = statements;
+    w->sessions[i].remaining = statements;
   while (!is_done (w))
     {
       for (uint32_t i = 0; i < w->session_count; i++)
         {
           LineSession *s = &w->sessions[i];
 
-          if (s->left && !s->waits && w->now_ms >= s->speak_ms)
-            say_something (w, s);
+          if (s->remaining && !s->waits && w->now_ms >= s->next_statement_ms)
+            send_random_statement (w, s);
         }
       step (w);
     }
 }
 
-/* --- life --- */
+/* --- set-up --- */
 
 static void
 start_core (LineWorld *w, uint32_t seed)
@@ -893,7 +905,7 @@
                              "\"failure_domain\":\"d\",\"slots\":2}",
                              i + 1);
 
-      store (w, key, value);
+      store_object (w, key, value);
       g_free (key);
       g_free (value);
     }
@@ -911,7 +923,7 @@
       "\"groups\":{\"g\":{\"max_connections\":%u}}}",
       max_connections);
 
-  store (w, "routes/main", routes);
+  store_object (w, "routes/main", routes);
   g_free (routes);
 }
 
@@ -936,7 +948,7 @@
       e.caller_open.service = i % 2 ? "bounded" : "strict";
       e.caller_open.user = "";
       ss_node_on_event (&w->node, &e, w->now_ms);
-      take_actions (w);
+      execute_actions (w);
     }
   w->served = 0;
 }
@@ -955,7 +967,7 @@
   w->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   w->connections = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                           free_connection);
-  g_queue_init (&w->due);
+  g_queue_init (&w->schedule);
   for (uint32_t i = 0; i < LINE_SERVERS; i++)
     {
       LineServer *s = &w->servers[i];
@@ -965,12 +977,12 @@
       s->term = 1;
       s->received = (SsPosition){ 1, 0 };
       s->applied = s->received;
-      s->lag_ms = LAG_MS;
+      s->lag_ms = APPLY_LAG_MS;
     }
   store_routes (w, max_connections);
   store_targets (w);
   start_core (w, seed);
-  /* The core finds the primary and names it. */
+  /* The core finds the primary and records it in the group object. */
   line_world_advance (w, 6000);
   open_sessions (w, sessions);
 }
@@ -982,9 +994,9 @@
   for (uint32_t i = 0; i < w->session_count; i++)
     {
       ss_session_state_finish (&w->sessions[i].state);
-      ss_statement_finish (&w->sessions[i].said);
+      ss_statement_finish (&w->sessions[i].statement);
     }
-  g_queue_clear_full (&w->due, free_due);
+  g_queue_clear_full (&w->schedule, scheduled_free);
   g_hash_table_destroy (w->connections);
   g_hash_table_destroy (w->runs);
   g_hash_table_destroy (w->versions);
--- a/tests/line_world.h
+++ b/tests/line_world.h
@@ -1,9 +1,9 @@
-/* line_world: one decision core, three stand-in servers of the line dialect
- * and callers, on one injected clock.
+/* line_world: a deterministic simulation with the line dialect.
  *
- * Everything random comes from the seed.  The servers check each statement
- * that callers sent: that it finds the values and the shapes of its session,
- * that a transaction stays on its connection, and that a session sees its own
+ * One decision core, three servers, callers and a platform run on one simulated
+ * clock.  All randomness comes from the seed.  The servers check each caller
+ * statement: its connection has the settings and prepared statements of its
+ * session, a transaction stays on its connection, and a session sees its own
  * commits.
  */
 #ifndef SS_TESTS_LINE_WORLD_H
@@ -21,39 +21,39 @@
   const char *name;
   SsServerRole role;
   uint64_t term;
-  uint64_t barred_term;
+  uint64_t barred_term; /* replicates no lower term; 0: not barred */
   SsPosition received;
   SsPosition applied;
-  int64_t lag_ms;
-  bool deaf;        /* receives nothing */
-  bool down;        /* refuses connections */
-  int64_t dirty_ms; /* since when a replica has more to apply */
+  int64_t lag_ms;     /* from receiving to applying */
+  bool deaf;          /* receives no replication */
+  bool down;          /* refuses connections and does not replicate */
+  int64_t in_sync_ms; /* when a replica last had applied all it received */
 } LineServer;
 
 typedef struct
 {
   uint64_t id;
   LineServer *server;
-  SsSessionState held;
-  char status;
-  uint32_t session; /* whose transaction is open; 0: none */
-  bool wrote;       /* in its transaction */
+  SsSessionState state; /* settings and prepared statements in force */
+  char status;          /* transaction status: I, T or E */
+  uint32_t session;     /* of the open transaction; 0: none */
+  bool wrote;           /* the open transaction has written */
 } LineConnection;
 
 typedef struct
 {
-  uint32_t id; /* from 1 */
-  SsSessionState state;
-  char status;
-  uint32_t statements; /* said so far */
-  uint32_t left;       /* to be said */
-  bool waits;          /* for an answer */
-  int64_t speak_ms;
-  SsStatement said;
+  uint32_t id;          /* from 1 */
+  SsSessionState state; /* that its statements must find */
+  char status;          /* transaction status: I, T or E */
+  uint32_t statements;  /* sent so far */
+  uint32_t remaining;   /* random statements still to send */
+  bool waits;           /* for a reply */
+  int64_t next_statement_ms;
+  SsStatement statement;     /* the last one sent */
   uint64_t first_connection; /* of its transaction; 0: none ran yet */
   SsPosition committing;     /* its last commit at a server */
   SsPosition committed;      /* its last acknowledged commit */
-  SsVerdict verdict;         /* of the last answer */
+  SsVerdict verdict;         /* of the last reply */
   SsReason reason;
 } LineSession;
 
@@ -62,59 +62,69 @@
   SsNode node;
   GRand *rand;
   int64_t now_ms;
-  int64_t version; /* of the platform's objects */
-  GTree *objects;  /* key -> value */
-  GHashTable *versions;
-  GQueue due; /* of events to be delivered, by time */
+  int64_t version;      /* of the last object written at the platform */
+  GTree *objects;       /* key -> value */
+  GHashTable *versions; /* key -> version */
+  GQueue schedule;      /* of ScheduledEvent, by time */
   LineServer servers[LINE_SERVERS];
-  GHashTable *connections;
+  GHashTable *connections; /* id -> LineConnection */
   LineSession sessions[LINE_SESSIONS_MAX];
   uint32_t session_count;
   bool platform_down;
   uint32_t promotions;
-  int64_t last_fence;
-  int64_t promote_ms; /* when a promotion takes effect; 0: none runs */
-  LineServer *promoted;
-  uint64_t lease_nonce; /* of the core's last question to a peer; 0: none */
-  /* Faults, in tenths of a percent. */
-  uint32_t busy_permille;
-  uint32_t lost_permille;
-  /* What a test wants of the next statement of callers that a server gets. */
+  int64_t last_fencing_token;
+  int64_t promote_ms;   /* when a promotion takes effect; 0: none in progress */
+  LineServer *promoted; /* of the last promotion, or NULL */
+  uint64_t lease_nonce; /* of the core's last lease request; 0: none */
+  /* Probability of injected faults, per mille. */
+  uint32_t busy_permille; /* a server answers BUSY */
+  uint32_t lost_permille; /* the connection closes instead of the answer */
+  /* The same faults, for the next caller statement that a server gets. */
   bool busy_next;
   bool lose_next;
-  /* What came of it. */
-  GHashTable *runs;      /* label -> times that a server ran it */
-  uint32_t status_asks;  /* of all servers */
-  uint32_t primary_asks; /* of the first one */
+  /* Results. */
+  GHashTable *runs;      /* label -> how often a server ran the statement */
+  uint32_t status_asks;  /* status requests to all servers */
+  uint32_t primary_asks; /* status requests to the first server */
   uint32_t violations;
   char first_violation[160];
-  uint32_t served;
-  uint32_t not_run;
-  uint32_t in_doubt;
+  uint32_t served;   /* replies with the verdict RAN */
+  uint32_t not_run;  /* NOT_RUN */
+  uint32_t in_doubt; /* MAY_HAVE_RUN */
 };
 
+/* line_world_init: starts the core, waits until it has found the primary and
+ * opens SESSIONS sessions, at most LINE_SESSIONS_MAX.  MAX_CONNECTIONS is the
+ * limit of the group.
+ */
 void line_world_init (LineWorld *world, uint32_t seed, uint32_t sessions,
                       uint32_t max_connections);
 void line_world_finish (LineWorld *world);
-/* line_world_advance: lets MS pass. */
+/* line_world_advance: advances the clock by MS milliseconds. */
 void line_world_advance (LineWorld *world, int64_t ms);
-/* line_world_say: SESSION (from 1) says TEXT, and time passes until it is
- * answered; returns whether it was.
+/* line_world_say: sends TEXT from SESSION (from 1) and runs until the reply,
+ * for at most 5 s.  Returns false if none came.
  */
 bool line_world_say (LineWorld *world, uint32_t session, const char *text);
-/* line_world_start: as line_world_say, without waiting. */
+/* line_world_start: sends TEXT from SESSION without waiting for the reply. */
 void line_world_start (LineWorld *world, uint32_t session, const char *text);
-/* line_world_peer: a message from vm "b". */
+/* line_world_peer: delivers ENVELOPE to the core as a message from VM "b". */
 void line_world_peer (LineWorld *world, SsEnvelope *envelope);
-/* line_world_mingle: every session says STATEMENTS random ones. */
+/* line_world_mingle: runs until each session has sent STATEMENTS random
+ * statements and got its replies.
+ */
 void line_world_mingle (LineWorld *world, uint32_t statements);
-/* line_world_crash: SERVER (from 0) breaks its connections and takes none. */
+/* line_world_crash: crashes SERVER (from 0): its connections break, new ones
+ * are refused.
+ */
 void line_world_crash (LineWorld *world, uint32_t server);
-/* line_world_put: writes an object of the platform, and tells the core. */
+/* line_world_put: writes an object at the platform and notifies the core. */
 void line_world_put (LineWorld *world, const char *key, const char *value);
-/* line_world_last_label: of SESSION's last statement; static. */
+/* line_world_last_label: returns the label of SESSION's last statement, valid
+ * until the next call.
+ */
 const char *line_world_last_label (LineWorld *world, uint32_t session);
-/* line_world_ran: how often a server ran the statement LABEL. */
+/* line_world_ran: returns how often servers ran the statement LABEL. */
 uint32_t line_world_ran (LineWorld *world, const char *label);
 
 #endif
--- a/tests/property.c
+++ b/tests/property.c
@@ -1,7 +1,11 @@
-/* property: seeded histories of several cores, checked against a model that
- * knows what was acknowledged.
+/* ss-property: property tests of the core on simulated histories.
  *
- *   ss-property [--seed N] [--count N] [--verbose]
+ *   ss-property [--seed N] [--count N] [--busy-ms MS] [--broken N] [--calm]
+ *               [--verbose]
+ *
+ * Simulates COUNT histories with consecutive seeds and checks each against a
+ * ledger of the acknowledged writes.  The exit status is 0 if all pass, 1 if
+ * one has a violation and 2 for wrong arguments.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -38,15 +42,18 @@
 {
   static const GOptionEntry entries[] = {
     { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "First seed", "N" },
-    { "count", 0, 0, G_OPTION_ARG_INT, &count, "Histories", "N" },
-    { "busy-ms", 0, 0, G_OPTION_ARG_INT, &busy_ms, "Length", "MS" },
-    { "broken", 0, 0, G_OPTION_ARG_INT, &broken, "Mechanism to break", "N" },
+    { "count", 0, 0, G_OPTION_ARG_INT, &count, "Number of histories", "N" },
+    { "busy-ms", 0, 0, G_OPTION_ARG_INT, &busy_ms,
+      "How long faults are injected", "MS" },
+    { "broken", 0, 0, G_OPTION_ARG_INT, &broken,
+      "Number of the mechanism to break", "N" },
     { "calm", 0, 0, G_OPTION_ARG_NONE, &calm, "No faults", NULL },
-    { "verbose", 0, 0, G_OPTION_ARG_NONE, &verbose, "Print each history",
-      NULL },
+    { "verbose", 0, 0, G_OPTION_ARG_NONE, &verbose,
+      "Print a report of each history", NULL },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
-  GOptionContext *context = g_option_context_new ("- seeded histories");
+  GOptionContext *context
+      = g_option_context_new ("- simulate and check seeded histories");
   GError *error = NULL;
   WorldReport sum = { 0 };
   int failed = 0;
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs every test and ends with "N passed, N failed".  Tests that
-# KNOWN-RED.txt names are run and printed, but do not fail the run.
+# Runs all tests.  The last line is "N passed, N failed".  Tests listed in
+# KNOWN-RED.txt run and are printed, but do not fail the run.
 set -u
 cd "$(dirname "$0")/.."
 B=${B:-build}
@@ -17,7 +17,7 @@
   [ -f KNOWN-RED.txt ] && grep -q "^test: $1\$" KNOWN-RED.txt
 }
 
-note() { # name, passed, failed
+record() { # name, passed, failed
   if [ "$3" -gt 0 ] && is_known_red "$1"; then
     echo "KNOWN RED: $1 ($3 failed)"
     known=$((known + 1))
@@ -37,9 +37,9 @@
 grep -v ' \.\.\.passed$' "$out/unit" | grep -v '^$'
 f=$(sed -n 's/^unit: .*passed, \([0-9]*\) failed$/\1/p' "$out/unit")
 p=$(sed -n 's/^unit: \([0-9]*\) passed.*/\1/p' "$out/unit")
-note unit "${p:-0}" "${f:-1}"
+record unit "${p:-0}" "${f:-1}"
 
-# Seeded histories, split over the jobs.
+# Property tests on simulated histories, split over JOBS processes.
 share=$(((HISTORIES + JOBS - 1) / JOBS))
 i=0
 while [ "$i" -lt "$JOBS" ]; do
@@ -52,28 +52,29 @@
   grep -A1 '^seed' "$file"
   f=$(sed -n 's/^[0-9]* passed, \([0-9]*\) failed$/\1/p' "$file")
   p=$(sed -n 's/^\([0-9]*\) passed, .*/\1/p' "$file")
-  note histories "${p:-0}" "${f:-1}"
+  record histories "${p:-0}" "${f:-1}"
 done
 
-# Scenarios against real processes, one after the other: those of the promises,
-# and the soak's that once found something.
+# Scenarios against real processes, one at a time: those of the documented
+# guarantees, and regression scenarios from failures of the soak test.
 for file in tests/scenario/*.scn tests/soak/*.scn; do
   if "$B/ss-scenario" "$file" >"$out/scenario" 2>&1; then
-    note "$file" 1 0
+    record "$file" 1 0
     echo "scenario $file: passed"
   else
-    note "$file" 0 1
+    record "$file" 0 1
     cat "$out/scenario"
     echo "scenario $file: failed"
   fi
 done
 
-# Faults that follow from seeds; one that was not played has failed.
+# Soak test with seeded random faults.  A run that did not take place counts as
+# failed.
 sh bench/soak.sh "$out/soak" 1 "$SOAK" "$SOAK" --seconds 9 --faults 6 \
   >"$out/soaks" 2>&1
 cat "$out/soaks"
 p=$(grep -c '^seed [0-9]*: passed$' "$out/soaks")
-note soak "$p" $((SOAK - p))
+record soak "$p" $((SOAK - p))
 
 [ "$known" -eq 0 ] || cat KNOWN-RED.txt
 echo "$passed passed, $failed failed"
--- a/tests/world.c
+++ b/tests/world.c
@@ -6,10 +6,10 @@
 
 #define START_MS 100000
 #define SETTLE_MS 3000
-#define HEAL_MS 12000
+#define RECOVERY_MS 12000
 #define TICK_MS 5
 
-/* --- time --- */
+/* --- schedule --- */
 
 static int64_t
 world_now (const SsClock *clock)
@@ -18,10 +18,10 @@
 }
 
 static int
-compare_items (gconstpointer a, gconstpointer b, gpointer data)
+compare_scheduled (gconstpointer a, gconstpointer b, gpointer data)
 {
-  const Item *x = a;
-  const Item *y = b;
+  const ScheduledEvent *x = a;
+  const ScheduledEvent *y = b;
 
   (void) data;
   if (x->at_ms != y->at_ms)
@@ -29,23 +29,23 @@
   return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
-Item *
-world_add (World *w, ItemKind kind, int64_t delay_ms)
+ScheduledEvent *
+world_schedule (World *w, ScheduledKind kind, int64_t delay_ms)
 {
-  Item *item = g_new0 (Item, 1);
+  ScheduledEvent *scheduled = g_new0 (ScheduledEvent, 1);
 
-  item->kind = kind;
-  item->at_ms = w->clock.now_ms + delay_ms;
-  item->sequence = ++w->sequence;
-  g_sequence_insert_sorted (w->items, item, compare_items, NULL);
-  return item;
+  scheduled->kind = kind;
+  scheduled->at_ms = w->clock.now_ms + delay_ms;
+  scheduled->sequence = ++w->sequence;
+  g_sequence_insert_sorted (w->schedule, scheduled, compare_scheduled, NULL);
+  return scheduled;
 }
 
 static void
-postpone (World *w, Item *item, int64_t at_ms)
+postpone (World *w, ScheduledEvent *scheduled, int64_t at_ms)
 {
-  item->at_ms = at_ms;
-  g_sequence_insert_sorted (w->items, item, compare_items, NULL);
+  scheduled->at_ms = at_ms;
+  g_sequence_insert_sorted (w->schedule, scheduled, compare_scheduled, NULL);
 }
 
 int32_t
@@ -74,7 +74,7 @@
   va_end (args);
 }
 
-/* --- nodes and their network --- */
+/* --- nodes and network --- */
 
 int32_t
 world_domain_of (int32_t index)
@@ -83,10 +83,11 @@
 }
 
 bool
-world_is_cut (const World *w, int32_t a_domain, int32_t b_domain)
+world_is_partitioned (const World *w, int32_t a_domain, int32_t b_domain)
 {
   return a_domain != b_domain
-         && (w->cut_domain[a_domain] || w->cut_domain[b_domain]);
+         && (w->domain_partitioned[a_domain]
+             || w->domain_partitioned[b_domain]);
 }
 
 static int32_t
@@ -111,47 +112,48 @@
   bool overtakes = a->is_control && w->params.faults && world_chance (w, 50);
 
   if (to < 0 || !w->nodes[to].alive
-      || world_is_cut (w, world_domain_of (from), world_domain_of (to)))
+      || world_is_partitioned (w, world_domain_of (from), world_domain_of (to)))
     return;
   for (int32_t i = 0; i < (doubled ? 2 : 1); i++)
     {
       int64_t delay_ms = world_random (w, 1, overtakes ? 40 : 3);
-      Item *item;
+      ScheduledEvent *scheduled;
 
       if (!overtakes)
-        delay_ms = MAX (delay_ms, w->last_ms[from][to] - w->clock.now_ms);
-      item = world_add (w, ITEM_MESSAGE, delay_ms);
+        delay_ms
+            = MAX (delay_ms, w->last_delivery_ms[from][to] - w->clock.now_ms);
+      scheduled = world_schedule (w, SCHEDULED_PEER_MESSAGE, delay_ms);
       if (!overtakes)
-        w->last_ms[from][to] = item->at_ms;
-      item->node = to;
-      item->life = w->nodes[to].life;
-      item->other = from;
-      item->epoch = w->epochs[from][to];
-      item->bytes = g_bytes_ref (a->bytes);
+        w->last_delivery_ms[from][to] = scheduled->at_ms;
+      scheduled->node = to;
+      scheduled->incarnation = w->nodes[to].incarnation;
+      scheduled->index = from;
+      scheduled->epoch = w->epochs[from][to];
+      scheduled->bytes = g_bytes_ref (a->bytes);
     }
 }
 
 static void
-tell_lost (World *w, int32_t node, int32_t peer)
+schedule_peer_lost (World *w, int32_t node, int32_t peer)
 {
-  Item *item;
+  ScheduledEvent *scheduled;
 
   if (!w->nodes[node].alive)
     return;
-  item = world_add (w, ITEM_LOST, world_random (w, 1, 5));
-  item->node = node;
-  item->life = w->nodes[node].life;
-  item->other = peer;
+  scheduled = world_schedule (w, SCHEDULED_PEER_LOST, world_random (w, 1, 5));
+  scheduled->node = node;
+  scheduled->incarnation = w->nodes[node].incarnation;
+  scheduled->index = peer;
 }
 
-/* Breaks the connections between two nodes: what is under way is lost. */
+/* Breaks the connections between two nodes; messages in flight are lost. */
 static void
-break_link (World *w, int32_t a, int32_t b)
+break_connection (World *w, int32_t a, int32_t b)
 {
   w->epochs[a][b]++;
   w->epochs[b][a]++;
-  tell_lost (w, a, b);
-  tell_lost (w, b, a);
+  schedule_peer_lost (w, a, b);
+  schedule_peer_lost (w, b, a);
 }
 
 static void
@@ -171,7 +173,7 @@
 }
 
 static void
-take_action (World *w, int32_t node, SsAction *a)
+execute_action (World *w, int32_t node, SsAction *a)
 {
   hash_action (w, node, a);
   switch (a->kind)
@@ -209,19 +211,20 @@
 }
 
 static void
-check_revision (World *w, WorldNode *n)
+check_config_version (World *w, WorldNode *n)
 {
   const SsGroup *group = ss_config_group (&n->core.config, "g");
   int64_t version = group ? group->version : 0;
 
-  if (version < n->versions_seen)
-    world_violation (w, &w->report->reverted, "%s went back to version %d",
-                     n->vm, (int) version);
-  n->versions_seen = version;
+  if (version < n->last_version)
+    world_violation (w, &w->report->reverted,
+                     "%s returned to configuration version %d", n->vm,
+                     (int) version);
+  n->last_version = version;
 }
 
 void
-world_event (World *w, int32_t node, const SsEvent *event)
+world_deliver (World *w, int32_t node, const SsEvent *event)
 {
   WorldNode *n = &w->nodes[node];
   SsAction action;
@@ -231,10 +234,10 @@
   ss_node_on_event (&n->core, event, w->clock.now_ms);
   while (n->alive && ss_node_take_action (&n->core, &action))
     {
-      take_action (w, node, &action);
+      execute_action (w, node, &action);
       ss_action_clear (&action);
     }
-  check_revision (w, n);
+  check_config_version (w, n);
 }
 
 static void
@@ -256,9 +259,9 @@
   ss_node_init (&n->core, &params, w->clock.now_ms);
   n->core.dialect = &w->dialect;
   n->alive = true;
-  n->life++;
+  n->incarnation++;
   n->paused_until_ms = 0;
-  n->versions_seen = 0;
+  n->last_version = 0;
 }
 
 static void
@@ -270,27 +273,27 @@
     return;
   n->alive = false;
   ss_node_finish (&n->core);
-  world_node_gone (w, node);
-  world_callers_node_gone (w, node);
+  world_close_node_connections (w, node);
+  world_callers_node_crashed (w, node);
   for (int32_t i = 0; i < WORLD_NODES; i++)
     if (i != node)
-      break_link (w, node, i);
+      break_connection (w, node, i);
 }
 
 /* --- faults --- */
 
 static void
-heal_domains (World *w)
+heal_partitions (World *w)
 {
   for (int32_t a = 0; a < WORLD_NODES; a++)
     for (int32_t b = 0; b < a; b++)
-      if (world_is_cut (w, world_domain_of (a), world_domain_of (b)))
-        break_link (w, a, b);
-  memset (w->cut_domain, 0, sizeof w->cut_domain);
+      if (world_is_partitioned (w, world_domain_of (a), world_domain_of (b)))
+        break_connection (w, a, b);
+  memset (w->domain_partitioned, 0, sizeof w->domain_partitioned);
 }
 
 static void
-draw_fault (World *w)
+inject_random_fault (World *w)
 {
   int32_t node = world_random (w, 0, WORLD_NODES - 1);
   int32_t server = world_random (w, 0, WORLD_SERVERS - 1);
@@ -322,22 +325,22 @@
       world_server_crash (w, server);
       break;
     case 5:
-      w->cut_domain[world_domain_of (node)] = true;
+      w->domain_partitioned[world_domain_of (node)] = true;
       break;
     case 6:
-      heal_domains (w);
+      heal_partitions (w);
       break;
     case 7:
       w->platform_down = !w->platform_down;
       break;
     case 8:
-      w->lose_answers = world_random (w, 1, 3);
+      w->put_answers_to_lose = world_random (w, 1, 3);
       break;
     case 9:
       w->servers[server].server.apply_lag_ms = world_random (w, 0, 400);
       break;
     case 10:
-      break_link (w, node, (node + 1) % WORLD_NODES);
+      break_connection (w, node, (node + 1) % WORLD_NODES);
       break;
     default:
       for (int32_t i = 0; i < WORLD_SERVERS; i++)
@@ -352,9 +355,9 @@
 static void
 heal_all (World *w)
 {
-  heal_domains (w);
+  heal_partitions (w);
   w->platform_down = false;
-  w->lose_answers = 0;
+  w->put_answers_to_lose = 0;
   for (int32_t i = 0; i < WORLD_NODES; i++)
     {
       w->nodes[i].paused_until_ms = 0;
@@ -369,46 +372,46 @@
 }
 
 static void
-take_fault (World *w)
+handle_fault (World *w)
 {
-  if (w->clock.now_ms >= w->quiet_ms)
+  if (w->clock.now_ms >= w->faults_end_ms)
     {
       heal_all (w);
       return;
     }
-  draw_fault (w);
-  world_add (w, ITEM_FAULT, world_random (w, 100, 1200));
+  inject_random_fault (w);
+  world_schedule (w, SCHEDULED_FAULT, world_random (w, 100, 1200));
 }
 
-/* --- running --- */
+/* --- dispatch --- */
 
 static void
-take_message (World *w, Item *item)
+handle_peer_message (World *w, ScheduledEvent *scheduled)
 {
   SsEvent e = { .kind = SS_EVENT_PEER_MESSAGE };
   gsize bytes;
 
-  if (item->life != w->nodes[item->node].life
-      || item->epoch != w->epochs[item->other][item->node])
+  if (scheduled->incarnation != w->nodes[scheduled->node].incarnation
+      || scheduled->epoch != w->epochs[scheduled->index][scheduled->node])
     return;
-  e.peer_message.data = g_bytes_get_data (item->bytes, &bytes);
+  e.peer_message.data = g_bytes_get_data (scheduled->bytes, &bytes);
   e.peer_message.data_bytes = (uint32_t) bytes;
-  world_event (w, item->node, &e);
+  world_deliver (w, scheduled->node, &e);
 }
 
 static void
-take_lost (World *w, Item *item)
+handle_peer_lost (World *w, ScheduledEvent *scheduled)
 {
   SsEvent e = { .kind = SS_EVENT_PEER_LOST };
 
-  if (item->life != w->nodes[item->node].life)
+  if (scheduled->incarnation != w->nodes[scheduled->node].incarnation)
     return;
-  e.peer_lost.vm = w->nodes[item->other].vm;
-  world_event (w, item->node, &e);
+  e.peer_lost.vm = w->nodes[scheduled->index].vm;
+  world_deliver (w, scheduled->node, &e);
 }
 
 static void
-take_tick (World *w)
+handle_tick (World *w)
 {
   SsEvent e = { .kind = SS_EVENT_TICK };
 
@@ -419,96 +422,98 @@
 
       if (n->alive && n->paused_until_ms <= w->clock.now_ms
           && ss_node_next_deadline (&n->core) <= w->clock.now_ms)
-        world_event (w, i, &e);
+        world_deliver (w, i, &e);
     }
-  world_add (w, ITEM_TICK, TICK_MS);
+  world_schedule (w, SCHEDULED_TICK, TICK_MS);
 }
 
-/* What is for a paused node waits until it runs again. */
+/* Returns whether the event is for a paused node; it is then delivered when the
+ * node resumes.
+ */
 static bool
-is_for_paused (const World *w, const Item *item)
+is_for_paused_node (const World *w, const ScheduledEvent *scheduled)
 {
-  switch (item->kind)
+  switch (scheduled->kind)
     {
-    case ITEM_MESSAGE:
-    case ITEM_LOST:
-    case ITEM_RESULT:
-    case ITEM_CLOSED:
-    case ITEM_PLATFORM_ANSWER:
-      return w->nodes[item->node].paused_until_ms > w->clock.now_ms;
+    case SCHEDULED_PEER_MESSAGE:
+    case SCHEDULED_PEER_LOST:
+    case SCHEDULED_TARGET_RESULT:
+    case SCHEDULED_TARGET_CLOSED:
+    case SCHEDULED_PLATFORM_ANSWER:
+      return w->nodes[scheduled->node].paused_until_ms > w->clock.now_ms;
     default:
       return false;
     }
 }
 
 static void
-take_item (World *w, Item *item)
+handle_scheduled (World *w, ScheduledEvent *scheduled)
 {
-  switch (item->kind)
+  switch (scheduled->kind)
     {
-    case ITEM_MESSAGE:
-      take_message (w, item);
+    case SCHEDULED_PEER_MESSAGE:
+      handle_peer_message (w, scheduled);
       break;
-    case ITEM_LOST:
-      take_lost (w, item);
+    case SCHEDULED_PEER_LOST:
+      handle_peer_lost (w, scheduled);
       break;
-    case ITEM_CONNECT:
-    case ITEM_QUERY:
-    case ITEM_RESULT:
-    case ITEM_CLOSED:
-      world_target_item (w, item);
+    case SCHEDULED_TARGET_CONNECT:
+    case SCHEDULED_TARGET_QUERY:
+    case SCHEDULED_TARGET_RESULT:
+    case SCHEDULED_TARGET_CLOSED:
+      world_target_handle (w, scheduled);
       break;
-    case ITEM_PLATFORM:
-    case ITEM_PLATFORM_ANSWER:
-      world_platform_item (w, item);
+    case SCHEDULED_PLATFORM_CALL:
+    case SCHEDULED_PLATFORM_ANSWER:
+      world_platform_handle (w, scheduled);
       break;
-    case ITEM_CALLER:
-      world_caller_item (w, item);
+    case SCHEDULED_CALLER_STEP:
+      world_caller_handle (w, scheduled);
       break;
-    case ITEM_FAULT:
-      take_fault (w);
+    case SCHEDULED_FAULT:
+      handle_fault (w);
       break;
-    case ITEM_TICK:
+    case SCHEDULED_TICK:
     default:
-      take_tick (w);
+      handle_tick (w);
       break;
     }
 }
 
 static void
-item_free (Item *item)
+scheduled_free (ScheduledEvent *scheduled)
 {
-  ss_action_clear (&item->action);
-  g_clear_pointer (&item->bytes, g_bytes_unref);
-  g_clear_pointer (&item->wire, g_bytes_unref);
-  g_free (item->row);
-  if (item->objects)
+  ss_action_clear (&scheduled->action);
+  g_clear_pointer (&scheduled->bytes, g_bytes_unref);
+  g_clear_pointer (&scheduled->wire, g_bytes_unref);
+  g_free (scheduled->row);
+  if (scheduled->objects)
     {
-      g_ptr_array_set_free_func (item->objects, world_free_stored);
-      g_ptr_array_free (item->objects, TRUE);
+      g_ptr_array_set_free_func (scheduled->objects, world_stored_object_free);
+      g_ptr_array_free (scheduled->objects, TRUE);
     }
-  g_free (item);
+  g_free (scheduled);
 }
 
 static void
 run_until (World *w, int64_t end_ms)
 {
-  while (!g_sequence_is_empty (w->items))
+  while (!g_sequence_is_empty (w->schedule))
     {
-      GSequenceIter *iter = g_sequence_get_begin_iter (w->items);
-      Item *item = g_sequence_get (iter);
+      GSequenceIter *iter = g_sequence_get_begin_iter (w->schedule);
+      ScheduledEvent *scheduled = g_sequence_get (iter);
 
-      if (item->at_ms > end_ms)
+      if (scheduled->at_ms > end_ms)
         break;
       g_sequence_remove (iter);
-      w->clock.now_ms = item->at_ms;
-      if (is_for_paused (w, item))
+      w->clock.now_ms = scheduled->at_ms;
+      if (is_for_paused_node (w, scheduled))
         {
-          postpone (w, item, w->nodes[item->node].paused_until_ms);
+          postpone (w, scheduled, w->nodes[scheduled->node].paused_until_ms);
           continue;
         }
-      take_item (w, item);
-      item_free (item);
+      handle_scheduled (w, scheduled);
+      scheduled_free (scheduled);
     }
   w->clock.now_ms = end_ms;
 }
@@ -532,15 +537,15 @@
   for (int32_t i = 0; i < WORLD_NODES; i++)
     if (w->nodes[i].alive)
       ss_node_finish (&w->nodes[i].core);
-  while (!g_sequence_is_empty (w->items))
+  while (!g_sequence_is_empty (w->schedule))
     {
-      GSequenceIter *iter = g_sequence_get_begin_iter (w->items);
-      Item *item = g_sequence_get (iter);
+      GSequenceIter *iter = g_sequence_get_begin_iter (w->schedule);
+      ScheduledEvent *scheduled = g_sequence_get (iter);
 
       g_sequence_remove (iter);
-      item_free (item);
+      scheduled_free (scheduled);
     }
-  g_sequence_free (w->items);
+  g_sequence_free (w->schedule);
   world_targets_finish (w);
   world_platform_finish (w);
   g_hash_table_destroy (w->sessions);
@@ -555,12 +560,12 @@
   World *w = g_new0 (World, 1);
 
   memset (report, 0, sizeof *report);
-  w->clock.klass.now_ms = world_now;
+  w->clock.base.now_ms = world_now;
   w->clock.now_ms = START_MS;
   w->params = *params;
   w->report = report;
   w->rand = g_rand_new_with_seed (params->seed);
-  w->items = g_sequence_new (NULL);
+  w->schedule = g_sequence_new (NULL);
   w->dialect = *ss_dialect_sql ();
   ss_ledger_init (&w->ledger);
   name_nodes (w);
@@ -568,17 +573,17 @@
   world_platform_init (w);
   for (int32_t i = 0; i < WORLD_NODES; i++)
     start_node (w, i);
-  world_add (w, ITEM_TICK, 0);
+  world_schedule (w, SCHEDULED_TICK, 0);
   run_until (w, START_MS + SETTLE_MS);
   world_callers_init (w);
-  w->quiet_ms = w->clock.now_ms + params->busy_ms;
+  w->faults_end_ms = w->clock.now_ms + params->busy_ms;
   if (params->faults)
-    world_add (w, ITEM_FAULT, 200);
-  run_until (w, w->quiet_ms + 1500);
-  run_until (w, w->clock.now_ms + HEAL_MS);
-  world_callers_final (w);
-  run_until (w, w->clock.now_ms + HEAL_MS);
-  world_callers_compare (w);
+    world_schedule (w, SCHEDULED_FAULT, 200);
+  run_until (w, w->faults_end_ms + 1500);
+  run_until (w, w->clock.now_ms + RECOVERY_MS);
+  world_callers_start_final_write (w);
+  run_until (w, w->clock.now_ms + RECOVERY_MS);
+  world_callers_check_rows (w);
   finish_world (w);
 }
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,9 +1,10 @@
-/* world: several decision cores, stand-in servers and a platform on one
- * injected clock, for the property tests.
+/* world: a deterministic simulation of a cluster, for the property tests.
  *
- * Everything random comes from the seed.  Messages between two vms are
- * delivered at most once and in order, or lost with their connection; control
- * messages may also be doubled and overtaken.
+ * Several decision cores, stand-in servers, callers and a platform run on one
+ * simulated clock.  All randomness comes from the seed, so a seed reproduces
+ * its history.  Messages between two VMs are delivered at most once and in
+ * order, or lost with their connection; with faults, control messages may also
+ * be duplicated and reordered.
  */
 #ifndef SS_TESTS_WORLD_H
 #define SS_TESTS_WORLD_H
@@ -16,52 +17,58 @@
 #define WORLD_CALLERS 8
 #define WORLD_DOMAINS 3
 
-/* Mechanisms that a test breaks to show that the checks can fail. */
+/* Mechanisms that a test disables or falsifies, to show that the checks detect
+ * the resulting violations.
+ */
 typedef enum
 {
   WORLD_BREAK_NONE,
-  WORLD_BREAK_HELD,    /* servers claim to hold what they don't */
-  WORLD_BREAK_TERM,    /* a raised primary goes on as one */
-  WORLD_BREAK_REQUEST, /* request ids are not unique */
-  WORLD_BREAK_APPLIED, /* replicas claim to have applied what they hold */
-  WORLD_BREAK_ANSWER,  /* answers of one connection reach another */
-  WORLD_BREAK_COMMIT,  /* servers commit statement by statement */
-  WORLD_BREAK_IDENTITY /* callers come under each other's names */
+  WORLD_BREAK_HELD,    /* servers report log entries they do not hold */
+  WORLD_BREAK_TERM,    /* a primary ignores a higher term */
+  WORLD_BREAK_REQUEST, /* idempotency keys are not unique */
+  WORLD_BREAK_APPLIED, /* replicas report all entries held as applied */
+  WORLD_BREAK_ANSWER,  /* some results carry a foreign value */
+  WORLD_BREAK_COMMIT,  /* servers commit each statement on its own */
+  WORLD_BREAK_IDENTITY /* callers connect under other callers' names */
 } WorldBreak;
 
 typedef struct
 {
   uint32_t seed;
   bool faults;
-  int64_t busy_ms; /* how long callers work */
+  int64_t busy_ms; /* how long faults are injected */
   WorldBreak broken;
 } WorldParams;
 
 typedef struct
 {
-  uint64_t statements;
-  uint64_t acknowledged;
-  uint64_t not_run;
-  uint64_t may_have_run;
-  uint64_t lost;
-  uint64_t doubled;
-  uint64_t stale;
-  uint64_t crossed;
-  uint64_t mixed;
-  uint64_t ran_though_not_run;
-  uint64_t reverted; /* configuration that went back */
-  uint64_t late;     /* answers later than their deadline allows */
-  bool recovered;    /* a write was accepted after the last fault */
+  uint64_t statements;         /* sent */
+  uint64_t acknowledged;       /* operations that succeeded */
+  uint64_t not_run;            /* failures with the verdict NOT_RUN */
+  uint64_t may_have_run;       /* failures with the verdict MAY_HAVE_RUN */
+  uint64_t lost;               /* acknowledged writes that are missing */
+  uint64_t doubled;            /* keys with more than one row */
+  uint64_t stale;              /* reads that missed a write they must see */
+  uint64_t crossed;            /* reads that returned another key's value */
+  uint64_t mixed;              /* transactions applied in part */
+  uint64_t ran_though_not_run; /* writes reported as not run that did run */
+  uint64_t reverted;           /* returns to an older configuration version */
+  uint64_t late;               /* replies past the deadline and its margin */
+  bool recovered;              /* a write succeeded after the last fault */
   uint64_t promotions;
   uint64_t replica_reads;
-  uint64_t actions_hash; /* of everything that the cores did */
+  uint64_t actions_hash; /* of all actions of all cores, in order */
   char first_violation[200];
 } WorldReport;
 
-/* world_run: runs one history. */
+/* world_run: simulates one history and writes its counts and violations to
+ * REPORT.
+ */
 void world_run (const WorldParams *params, WorldReport *report);
 
-/* world_violations: the sum of what must never happen. */
+/* world_violations: returns the number of violations in REPORT; a history that
+ * did not recover counts as one.
+ */
 uint64_t world_violations (const WorldReport *report);
 
 #endif
--- a/tests/world_callers.c
+++ b/tests/world_callers.c
@@ -3,21 +3,22 @@
 
 #include "tests/world_internal.h"
 
-#define AGED_MS 2000
-#define GIVE_UP_MS 6000
+#define STALENESS_MS 2000
+#define RETRY_LIMIT_MS 6000
 #define DEADLINE_MS 2000
-/* What a final answer may come later than its deadline: a pause of the entry
- * and the owner's grace.
+/* How far past its deadline a final reply may come: allows for a pause of the
+ * entry VM and the owner's grace period.
  */
-#define LATE_MS 400
+#define LATENESS_LIMIT_MS 400
 
 static void
-plan (World *w, WorldCaller *c, int64_t delay_ms)
+schedule_step (World *w, WorldCaller *c, int64_t delay_ms)
 {
-  Item *item = world_add (w, ITEM_CALLER, delay_ms);
+  ScheduledEvent *scheduled
+      = world_schedule (w, SCHEDULED_CALLER_STEP, delay_ms);
 
-  item->other = c->number;
-  item->id = ++c->plan;
+  scheduled->index = c->number;
+  scheduled->id = ++c->next_step_id;
 }
 
 static void
@@ -29,24 +30,24 @@
     return;
   e.caller.caller = c->session;
   g_hash_table_remove (w->sessions, &c->session);
-  if (w->nodes[c->node].life == c->life)
-    world_event (w, c->node, &e);
+  if (w->nodes[c->node].incarnation == c->incarnation)
+    world_deliver (w, c->node, &e);
   c->node = -1;
   c->open = false;
   c->waiting = false;
 }
 
 static void
-say (World *w, WorldCaller *c, const char *sql)
+send_statement (World *w, WorldCaller *c, const char *sql)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_STATEMENT };
 
   c->waiting = true;
-  c->statement_ms = w->clock.now_ms;
+  c->statement_sent_ms = w->clock.now_ms;
   w->report->statements++;
   e.caller_statement.caller = c->session;
   e.caller_statement.sql = sql;
-  world_event (w, c->node, &e);
+  world_deliver (w, c->node, &e);
 }
 
 static void
@@ -55,16 +56,16 @@
   SsEvent e = { .kind = SS_EVENT_CALLER_OPEN };
   int32_t node = world_random (w, 0, WORLD_NODES - 1);
   const char *settings[] = { "token", c->token, NULL };
-  bool brings_token = *c->token && world_chance (w, 500);
+  bool has_token = *c->token && world_chance (w, 500);
   char user[16];
 
   if (!w->nodes[node].alive || w->nodes[node].paused_until_ms > w->clock.now_ms)
     {
-      plan (w, c, 50);
+      schedule_step (w, c, 50);
       return;
     }
   c->node = node;
-  c->life = w->nodes[node].life;
+  c->incarnation = w->nodes[node].incarnation;
   c->session = ++w->next_session;
   c->open = false;
   g_hash_table_insert (w->sessions, &c->session, c);
@@ -75,8 +76,8 @@
                   : c->number);
   e.caller_open.service = "app";
   e.caller_open.user = user;
-  e.caller_open.settings = brings_token ? settings : NULL;
-  world_event (w, node, &e);
+  e.caller_open.settings = has_token ? settings : NULL;
+  world_deliver (w, node, &e);
 }
 
 /* --- operations --- */
@@ -104,29 +105,30 @@
 }
 
 static void
-choose (World *w, WorldCaller *c)
+choose_operation (World *w, WorldCaller *c)
 {
   int32_t draw = world_random (w, 0, 99);
 
-  c->wanted = NULL;
+  c->expected = NULL;
   c->step = 0;
-  c->op_ms = w->clock.now_ms;
-  c->with_id_unknown = false;
-  if (draw < 45 || c->final)
+  c->op_started_ms = w->clock.now_ms;
+  c->in_doubt = false;
+  if (draw < 45 || c->is_final)
     {
       char key[40];
       char partner[40];
 
       c->op = draw < 15 ? OP_WRITE
-                        : (draw < 30 ? OP_WRITE_WITH_ID : OP_TRANSACTION);
+                        : (draw < 30 ? OP_WRITE_IDEMPOTENT : OP_TRANSACTION);
       c->sequence++;
       g_snprintf (key, sizeof key, "c%d-%d", c->number, c->sequence);
       g_snprintf (partner, sizeof partner, "%s-b", key);
-      c->filing = ss_ledger_add (&w->ledger, key,
-                                 c->op == OP_TRANSACTION ? partner : NULL);
+      c->write = ss_ledger_add (&w->ledger, key,
+                                c->op == OP_TRANSACTION ? partner : NULL);
       return;
     }
-  c->op = draw < 75 ? OP_READ_OWN : (draw < 88 ? OP_READ_STRICT : OP_READ_AGED);
+  c->op = draw < 75 ? OP_READ_YOUR_WRITES
+                    : (draw < 88 ? OP_READ_STRICT : OP_READ_BOUNDED);
 }
 
 static char *
@@ -141,15 +143,15 @@
 {
   static const char *const rest[] = { "BEGIN", NULL, NULL, "COMMIT" };
 
-  if (c->op == OP_WRITE_WITH_ID && c->step == 0)
+  if (c->op == OP_WRITE_IDEMPOTENT && c->step == 0)
     return g_strdup_printf ("SET sapphirestair.request_id = '%s'",
-                            c->filing->key);
+                            c->write->key);
   if (c->op != OP_TRANSACTION)
-    return insert_sql (c->filing->key);
+    return insert_sql (c->write->key);
   if (c->step == 1)
-    return insert_sql (c->filing->key);
+    return insert_sql (c->write->key);
   if (c->step == 2)
-    return insert_sql (c->filing->partner);
+    return insert_sql (c->write->partner);
   return g_strdup (rest[c->step]);
 }
 
@@ -160,16 +162,16 @@
 
   if (c->step == 0)
     return g_strdup_printf ("SET sapphirestair.kind = '%s'",
-                            kinds[c->op - OP_READ_OWN]);
+                            kinds[c->op - OP_READ_YOUR_WRITES]);
   if (c->step == 2)
     return g_strdup ("RESET sapphirestair.kind");
-  if (c->op == OP_READ_OWN)
-    c->wanted = c->last_own;
+  if (c->op == OP_READ_YOUR_WRITES)
+    c->expected = c->last_acknowledged;
   else
-    c->wanted = pick_acknowledged (
-        w, w->clock.now_ms - (c->op == OP_READ_AGED ? AGED_MS : 0));
+    c->expected = pick_acknowledged (
+        w, w->clock.now_ms - (c->op == OP_READ_BOUNDED ? STALENESS_MS : 0));
   return g_strdup_printf ("SELECT value FROM t WHERE key = '%s'",
-                          c->wanted ? c->wanted->key : "none");
+                          c->expected ? c->expected->key : "none");
 }
 
 static int32_t
@@ -179,7 +181,7 @@
     {
     case OP_WRITE:
       return 0;
-    case OP_WRITE_WITH_ID:
+    case OP_WRITE_IDEMPOTENT:
       return 1;
     case OP_TRANSACTION:
       return 3;
@@ -189,66 +191,67 @@
 }
 
 static void
-next_statement (World *w, WorldCaller *c)
+send_next_statement (World *w, WorldCaller *c)
 {
   char *sql = is_write (c) ? write_sql (c) : read_sql (w, c);
 
-  say (w, c, sql);
+  send_statement (w, c, sql);
   g_free (sql);
 }
 
 static void
-end_op (World *w, WorldCaller *c)
+end_operation (World *w, WorldCaller *c)
 {
-  c->filing = NULL;
-  c->wanted = NULL;
+  c->write = NULL;
+  c->expected = NULL;
   c->step = 0;
-  plan (w, c, world_random (w, 1, 60));
+  schedule_step (w, c, world_random (w, 1, 60));
 }
 
-/* --- judging answers --- */
+/* --- replies --- */
 
 static void
-judge_read (World *w, WorldCaller *c, const SsAction *a)
+check_read (World *w, WorldCaller *c, const SsAction *a)
 {
   gsize bytes = 0;
   const char *data = a->bytes ? g_bytes_get_data (a->bytes, &bytes) : "";
   char *value = g_strndup (data, bytes);
 
   g_strchomp (value);
-  if (c->wanted && !*value)
+  if (c->expected && !*value)
     world_violation (w, &w->report->stale,
-                     "op %d of caller %d at %d does not see %s", c->op,
-                     c->number, c->node, c->wanted->key);
-  else if (*value && (!c->wanted || strcmp (value, c->wanted->key) != 0))
-    world_violation (w, &w->report->crossed, "caller %d got %s for %s",
-                     c->number, value, c->wanted ? c->wanted->key : "none");
+                     "operation %d of caller %d at node %d does not see %s",
+                     c->op, c->number, c->node, c->expected->key);
+  else if (*value && (!c->expected || strcmp (value, c->expected->key) != 0))
+    world_violation (w, &w->report->crossed, "caller %d read %s instead of %s",
+                     c->number, value, c->expected ? c->expected->key : "none");
   g_free (value);
 }
 
 static void
-succeed (World *w, WorldCaller *c)
+operation_succeeded (World *w, WorldCaller *c)
 {
   w->report->acknowledged++;
   if (is_write (c))
     {
-      ss_ledger_acknowledge (&w->ledger, c->filing, w->clock.now_ms);
-      c->last_own = c->filing;
-      if (c->final)
+      ss_ledger_acknowledge (&w->ledger, c->write, w->clock.now_ms);
+      c->last_acknowledged = c->write;
+      if (c->is_final)
         w->report->recovered = true;
     }
-  end_op (w, c);
+  end_operation (w, c);
 }
 
 static bool
-gives_up (const World *w, const WorldCaller *c)
+stops_retrying (const World *w, const WorldCaller *c)
 {
-  return w->closing || w->clock.now_ms - c->op_ms > GIVE_UP_MS;
+  return w->closing || w->clock.now_ms - c->op_started_ms > RETRY_LIMIT_MS;
 }
 
-/* Repeats what can safely be repeated; else its fate is written down. */
+/* Retries an operation that is safe to retry, or records its outcome. */
 static void
-fail (World *w, WorldCaller *c, SsVerdict verdict, uint32_t retry_after_ms)
+operation_failed (World *w, WorldCaller *c, SsVerdict verdict,
+                  uint32_t retry_after_ms)
 {
   bool not_run = verdict == SS_VERDICT_NOT_RUN;
 
@@ -260,40 +263,40 @@
   if (!is_write (c))
     {
       disconnect (w, c);
-      end_op (w, c);
+      end_operation (w, c);
       return;
     }
   if (!not_run)
-    c->with_id_unknown = true;
-  if ((not_run || c->op == OP_WRITE_WITH_ID) && !gives_up (w, c))
+    c->in_doubt = true;
+  if ((not_run || c->op == OP_WRITE_IDEMPOTENT) && !stops_retrying (w, c))
     {
-      plan (w, c, MAX (retry_after_ms, 5));
+      schedule_step (w, c, MAX (retry_after_ms, 5));
       return;
     }
-  c->filing->fate = c->with_id_unknown ? SS_FATE_UNKNOWN : SS_FATE_NOT_RUN;
-  end_op (w, c);
+  c->write->fate = c->in_doubt ? SS_FATE_UNKNOWN : SS_FATE_NOT_RUN;
+  end_operation (w, c);
 }
 
 static void
 check_lateness (World *w, const WorldCaller *c)
 {
-  if (w->clock.now_ms - c->statement_ms <= DEADLINE_MS + LATE_MS)
+  if (w->clock.now_ms - c->statement_sent_ms <= DEADLINE_MS + LATENESS_LIMIT_MS)
     return;
-  /* A paused entry vm answers nobody. */
+  /* With faults, the entry VM may be paused and sends no replies. */
   if (w->params.faults)
     return;
-  world_violation (w, &w->report->late, "caller %d waited %d ms", c->number,
-                   (int) (w->clock.now_ms - c->statement_ms));
+  world_violation (w, &w->report->late, "caller %d waited %d ms for a reply",
+                   c->number, (int) (w->clock.now_ms - c->statement_sent_ms));
 }
 
 static void
-take_reply (World *w, WorldCaller *c, const SsAction *a)
+handle_reply (World *w, WorldCaller *c, const SsAction *a)
 {
   if (!c->open)
     {
       c->open = a->verdict == SS_VERDICT_RAN;
       if (c->open)
-        plan (w, c, 1);
+        schedule_step (w, c, 1);
       return;
     }
   c->waiting = false;
@@ -302,20 +305,22 @@
     {
       if (a->transaction_status != 'I')
         disconnect (w, c);
-      fail (w, c, a->verdict, a->retry_after_ms);
+      operation_failed (w, c, a->verdict, a->retry_after_ms);
       return;
     }
   if (!is_write (c) && c->step == 1)
-    judge_read (w, c, a);
+    check_read (w, c, a);
   if (c->step++ == last_step (c))
-    succeed (w, c);
+    operation_succeeded (w, c);
   else
-    plan (w, c, 1);
+    schedule_step (w, c, 1);
 }
 
-/* Without an answer only a COMMIT or a single statement may have run. */
+/* The connection to the entry VM is lost.  Of a pending statement, only a
+ * COMMIT or a statement outside a transaction may have taken effect.
+ */
 static void
-lose_entry (World *w, WorldCaller *c)
+entry_lost (World *w, WorldCaller *c)
 {
   bool was_waiting = c->waiting;
   bool may_have_run = was_waiting && c->step == last_step (c);
@@ -324,19 +329,19 @@
   c->node = -1;
   c->open = false;
   c->waiting = false;
-  if (was_waiting || (c->filing && c->step > 0))
-    fail (w, c, may_have_run ? SS_VERDICT_MAY_HAVE_RUN : SS_VERDICT_NOT_RUN,
-          20);
+  if (was_waiting || (c->write && c->step > 0))
+    operation_failed (
+        w, c, may_have_run ? SS_VERDICT_MAY_HAVE_RUN : SS_VERDICT_NOT_RUN, 20);
   else
-    plan (w, c, 20);
+    schedule_step (w, c, 20);
 }
 
 void
-world_callers_node_gone (World *w, int32_t node)
+world_callers_node_crashed (World *w, int32_t node)
 {
   for (int32_t i = 0; i < WORLD_CALLERS; i++)
     if (w->callers[i].node == node)
-      lose_entry (w, &w->callers[i]);
+      entry_lost (w, &w->callers[i]);
 }
 
 void
@@ -349,29 +354,29 @@
   switch (a->kind)
     {
     case SS_ACTION_CALLER_REPLY:
-      take_reply (w, c, a);
+      handle_reply (w, c, a);
       break;
     case SS_ACTION_CALLER_PARAMETER:
       g_strlcpy (c->token, a->text, sizeof c->token);
       break;
     default:
-      lose_entry (w, c);
+      entry_lost (w, c);
       break;
     }
 }
 
-/* --- life --- */
+/* --- scheduling and final checks --- */
 
 void
-world_caller_item (World *w, Item *item)
+world_caller_handle (World *w, ScheduledEvent *scheduled)
 {
-  WorldCaller *c = &w->callers[item->other];
+  WorldCaller *c = &w->callers[scheduled->index];
 
-  if (c->waiting || item->id != c->plan)
+  if (c->waiting || scheduled->id != c->next_step_id)
     return;
-  if (w->closing && !c->final && !c->filing)
+  if (w->closing && !c->is_final && !c->write)
     return;
-  if (c->node >= 0 && !c->filing && !c->wanted && c->step == 0
+  if (c->node >= 0 && !c->write && !c->expected && c->step == 0
       && world_chance (w, 120))
     disconnect (w, c);
   if (c->node < 0)
@@ -381,12 +386,12 @@
     }
   if (!c->open || w->nodes[c->node].paused_until_ms > w->clock.now_ms)
     {
-      plan (w, c, 50);
+      schedule_step (w, c, 50);
       return;
     }
-  if (!c->filing && c->step == 0)
-    choose (w, c);
-  next_statement (w, c);
+  if (!c->write && c->step == 0)
+    choose_operation (w, c);
+  send_next_statement (w, c);
 }
 
 void
@@ -397,20 +402,22 @@
     {
       w->callers[i].number = i;
       w->callers[i].node = -1;
-      plan (w, &w->callers[i], world_random (w, 0, 100));
+      schedule_step (w, &w->callers[i], world_random (w, 0, 100));
     }
 }
 
-/* After the last fault one caller has to get a write through. */
+/* After the last fault, one caller makes a write that has to succeed; the
+ * others finish their current operation.
+ */
 void
-world_callers_final (World *w)
+world_callers_start_final_write (World *w)
 {
   WorldCaller *c = &w->callers[0];
 
   w->closing = true;
-  c->final = true;
-  if (!c->waiting && !c->filing)
-    plan (w, c, 1);
+  c->is_final = true;
+  if (!c->waiting && !c->write)
+    schedule_step (w, c, 1);
 }
 
 static void
@@ -422,7 +429,7 @@
 }
 
 void
-world_callers_compare (World *w)
+world_callers_check_rows (World *w)
 {
   GHashTable *counts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
--- a/tests/world_platform.c
+++ b/tests/world_platform.c
@@ -4,12 +4,12 @@
 
 #include "tests/world_internal.h"
 
-#define WATCH_WAIT_MS 1000
-#define WATCH_STEP_MS 20
+#define LONG_POLL_MS 1000
+#define WATCH_CHECK_MS 20
 #define CALL_TIMEOUT_MS 1500
 
 void
-world_free_stored (gpointer data)
+world_stored_object_free (gpointer data)
 {
   StoredObject *o = data;
 
@@ -19,7 +19,7 @@
 }
 
 static StoredObject *
-copy_stored (const StoredObject *o)
+stored_object_copy (const StoredObject *o)
 {
   StoredObject *copy = g_new0 (StoredObject, 1);
 
@@ -30,7 +30,7 @@
 }
 
 static void
-put (World *w, const char *key, const char *value)
+store_object (World *w, const char *key, const char *value)
 {
   StoredObject *o = g_new0 (StoredObject, 1);
 
@@ -43,8 +43,8 @@
 void
 world_platform_init (World *w)
 {
-  w->objects
-      = g_tree_new_full (ss_names_compare, NULL, NULL, world_free_stored);
+  w->objects = g_tree_new_full (ss_names_compare, NULL, NULL,
+                                world_stored_object_free);
   for (int32_t i = 0; i < WORLD_SERVERS; i++)
     {
       char *key = g_strdup_printf ("target/%s", w->servers[i].name);
@@ -53,17 +53,18 @@
           "\"failure_domain\":\"d%d\",\"max_connections\":%d}",
           w->servers[i].ip, i, (int) w->servers[i].server.max_connections);
 
-      put (w, key, json);
+      store_object (w, key, json);
       g_free (key);
       g_free (json);
     }
-  put (w, "group/g", "{\"term\":1,\"primary\":\"s0\"}");
-  /* Every other seed has a service that knows its callers. */
-  put (w, "service/app",
-       w->params.seed % 2 ? "{\"group\":\"g\",\"kinds\":{\"aged\":"
-                            "{\"staleness_ms\":2000}},\"identity\":\"user\"}"
-                          : "{\"group\":\"g\",\"kinds\":{\"aged\":"
-                            "{\"staleness_ms\":2000}}}");
+  store_object (w, "group/g", "{\"term\":1,\"primary\":\"s0\"}");
+  /* With odd seeds, the service identifies callers by user name. */
+  store_object (w, "service/app",
+                w->params.seed % 2
+                    ? "{\"group\":\"g\",\"kinds\":{\"aged\":"
+                      "{\"staleness_ms\":2000}},\"identity\":\"user\"}"
+                    : "{\"group\":\"g\",\"kinds\":{\"aged\":"
+                      "{\"staleness_ms\":2000}}}");
 }
 
 void
@@ -87,13 +88,15 @@
   return g_string_free (out, FALSE);
 }
 
-static Item *
-add_answer (World *w, Item *call, int64_t delay_ms, SsPlatformOutcome outcome)
+static ScheduledEvent *
+schedule_answer (World *w, ScheduledEvent *call, int64_t delay_ms,
+                 SsPlatformOutcome outcome)
 {
-  Item *answer = world_add (w, ITEM_PLATFORM_ANSWER, delay_ms);
+  ScheduledEvent *answer
+      = world_schedule (w, SCHEDULED_PLATFORM_ANSWER, delay_ms);
 
   answer->node = call->node;
-  answer->life = call->life;
+  answer->incarnation = call->incarnation;
   answer->action = call->action;
   memset (&call->action, 0, sizeof call->action);
   answer->outcome = outcome;
@@ -105,197 +108,202 @@
 void
 world_platform_action (World *w, int32_t node, SsAction *action)
 {
-  Item *item = world_add (w, ITEM_PLATFORM, world_random (w, 1, 5));
+  ScheduledEvent *scheduled
+      = world_schedule (w, SCHEDULED_PLATFORM_CALL, world_random (w, 1, 5));
 
-  item->node = node;
-  item->life = w->nodes[node].life;
-  item->action = *action;
+  scheduled->node = node;
+  scheduled->incarnation = w->nodes[node].incarnation;
+  scheduled->action = *action;
   memset (action, 0, sizeof *action);
-  item->id = (uint64_t) w->clock.now_ms;
+  scheduled->id = (uint64_t) w->clock.now_ms;
 }
 
 typedef struct
 {
   int64_t since;
   GPtrArray *out;
-} Newer;
+} NewerObjects;
 
 static gboolean
-collect_newer (gpointer key, gpointer value, gpointer data)
+collect_newer_object (gpointer key, gpointer value, gpointer data)
 {
-  Newer *n = data;
+  NewerObjects *n = data;
   const StoredObject *o = value;
 
   (void) key;
   if (o->version > n->since)
-    g_ptr_array_add (n->out, copy_stored (o));
+    g_ptr_array_add (n->out, stored_object_copy (o));
   return FALSE;
 }
 
 static void
-take_watch (World *w, Item *call)
+answer_watch (World *w, ScheduledEvent *call)
 {
-  Newer newer = { call->action.number, NULL };
-  Item *item;
+  NewerObjects newer = { call->action.number, NULL };
+  ScheduledEvent *scheduled;
 
   if (w->revision <= call->action.number
-      && w->clock.now_ms - (int64_t) call->id < WATCH_WAIT_MS)
+      && w->clock.now_ms - (int64_t) call->id < LONG_POLL_MS)
     {
-      item = world_add (w, ITEM_PLATFORM, WATCH_STEP_MS);
-      item->node = call->node;
-      item->life = call->life;
-      item->action = call->action;
-      item->id = call->id;
+      scheduled = world_schedule (w, SCHEDULED_PLATFORM_CALL, WATCH_CHECK_MS);
+      scheduled->node = call->node;
+      scheduled->incarnation = call->incarnation;
+      scheduled->action = call->action;
+      scheduled->id = call->id;
       memset (&call->action, 0, sizeof call->action);
       return;
     }
-  item = add_answer (w, call, world_random (w, 1, 5), SS_PLATFORM_DONE);
-  newer.out = item->objects;
-  g_tree_foreach (w->objects, collect_newer, &newer);
+  scheduled
+      = schedule_answer (w, call, world_random (w, 1, 5), SS_PLATFORM_DONE);
+  newer.out = scheduled->objects;
+  g_tree_foreach (w->objects, collect_newer_object, &newer);
 }
 
-/* An update whose answer is lost after it took effect. */
+/* Returns whether the answer to an update is lost; the update itself has taken
+ * effect.
+ */
 static bool
-answer_is_lost (World *w)
+loses_put_answer (World *w)
 {
-  if (w->lose_answers <= 0)
+  if (w->put_answers_to_lose <= 0)
     return false;
-  w->lose_answers--;
+  w->put_answers_to_lose--;
   return true;
 }
 
 static void
-take_put (World *w, Item *call)
+answer_put (World *w, ScheduledEvent *call)
 {
   StoredObject *old = g_tree_lookup (w->objects, call->action.name);
   int64_t version = old ? old->version : 0;
   SsPlatformOutcome outcome = SS_PLATFORM_DONE;
-  Item *answer;
+  ScheduledEvent *answer;
 
   if (version != call->action.number)
     outcome = SS_PLATFORM_CONFLICT;
   else
-    put (w, call->action.name, call->action.text);
-  if (answer_is_lost (w))
+    store_object (w, call->action.name, call->action.text);
+  if (loses_put_answer (w))
     {
-      add_answer (w, call, CALL_TIMEOUT_MS, SS_PLATFORM_UNKNOWN);
+      schedule_answer (w, call, CALL_TIMEOUT_MS, SS_PLATFORM_UNKNOWN);
       return;
     }
   old = g_tree_lookup (w->objects, call->action.name);
-  answer = add_answer (w, call, world_random (w, 1, 5), outcome);
+  answer = schedule_answer (w, call, world_random (w, 1, 5), outcome);
   if (old)
-    g_ptr_array_add (answer->objects, copy_stored (old));
+    g_ptr_array_add (answer->objects, stored_object_copy (old));
 }
 
 static void
-take_get (World *w, Item *call)
+answer_get (World *w, ScheduledEvent *call)
 {
   StoredObject *o = g_tree_lookup (w->objects, call->action.name);
-  Item *answer = add_answer (w, call, world_random (w, 1, 5),
-                             o ? SS_PLATFORM_DONE : SS_PLATFORM_ABSENT);
+  ScheduledEvent *answer
+      = schedule_answer (w, call, world_random (w, 1, 5),
+                         o ? SS_PLATFORM_DONE : SS_PLATFORM_ABSENT);
 
   if (o)
-    g_ptr_array_add (answer->objects, copy_stored (o));
+    g_ptr_array_add (answer->objects, stored_object_copy (o));
 }
 
 static void
-take_call (World *w, Item *call)
+answer_call (World *w, ScheduledEvent *call)
 {
-  bool cut = w->cut_domain[world_domain_of (call->node)];
+  bool partitioned = w->domain_partitioned[world_domain_of (call->node)];
 
-  if (cut || w->platform_down)
+  if (partitioned || w->platform_down)
     {
-      add_answer (w, call, cut ? CALL_TIMEOUT_MS : 2,
-                  cut ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_REFUSED);
+      schedule_answer (w, call, partitioned ? CALL_TIMEOUT_MS : 2,
+                       partitioned ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_REFUSED);
       return;
     }
   switch (call->action.kind)
     {
     case SS_ACTION_PLATFORM_WATCH:
-      take_watch (w, call);
+      answer_watch (w, call);
       break;
     case SS_ACTION_PLATFORM_PUT:
-      take_put (w, call);
+      answer_put (w, call);
       break;
     case SS_ACTION_PLATFORM_GET:
-      take_get (w, call);
+      answer_get (w, call);
       break;
     default:
-      add_answer (w, call, world_random (w, 1, 5), SS_PLATFORM_DONE);
+      schedule_answer (w, call, world_random (w, 1, 5), SS_PLATFORM_DONE);
       break;
     }
 }
 
 static void
-deliver_objects (World *w, Item *item)
+deliver_objects (World *w, ScheduledEvent *scheduled)
 {
   SsEvent e = { .kind = SS_EVENT_PLATFORM_OBJECTS };
-  SsObject *objects = g_new0 (SsObject, item->objects->len + 1);
+  SsObject *objects = g_new0 (SsObject, scheduled->objects->len + 1);
 
-  for (guint i = 0; i < item->objects->len; i++)
+  for (guint i = 0; i < scheduled->objects->len; i++)
     {
-      const StoredObject *o = g_ptr_array_index (item->objects, i);
+      const StoredObject *o = g_ptr_array_index (scheduled->objects, i);
 
       objects[i].key = o->key;
       objects[i].version = o->version;
       objects[i].value = o->value;
       objects[i].value_bytes = (uint32_t) strlen (o->value);
     }
-  e.platform_objects.outcome = item->outcome;
-  e.platform_objects.since = item->action.number;
-  e.platform_objects.revision = item->revision;
+  e.platform_objects.outcome = scheduled->outcome;
+  e.platform_objects.since = scheduled->action.number;
+  e.platform_objects.revision = scheduled->revision;
   e.platform_objects.objects = objects;
-  e.platform_objects.object_count = item->objects->len;
-  world_event (w, item->node, &e);
+  e.platform_objects.object_count = scheduled->objects->len;
+  world_deliver (w, scheduled->node, &e);
   g_free (objects);
 }
 
 static void
-deliver_object (World *w, Item *item)
+deliver_object (World *w, ScheduledEvent *scheduled)
 {
   SsEvent e = { .kind = SS_EVENT_PLATFORM_OBJECT };
   SsObject *object = &e.platform_object.object;
 
-  e.platform_object.call = item->action.id;
-  e.platform_object.outcome = item->outcome;
-  object->key = item->action.name;
-  if (item->objects->len)
+  e.platform_object.call = scheduled->action.id;
+  e.platform_object.outcome = scheduled->outcome;
+  object->key = scheduled->action.name;
+  if (scheduled->objects->len)
     {
-      const StoredObject *o = g_ptr_array_index (item->objects, 0);
+      const StoredObject *o = g_ptr_array_index (scheduled->objects, 0);
 
       object->version = o->version;
       object->value = o->value;
       object->value_bytes = (uint32_t) strlen (o->value);
     }
-  world_event (w, item->node, &e);
+  world_deliver (w, scheduled->node, &e);
 }
 
 static void
-deliver_vms (World *w, Item *item)
+deliver_vms (World *w, ScheduledEvent *scheduled)
 {
   SsEvent e = { .kind = SS_EVENT_PLATFORM_VMS };
   char *json = vms_json (w);
 
-  if (item->outcome == SS_PLATFORM_DONE)
+  if (scheduled->outcome == SS_PLATFORM_DONE)
     {
       e.platform_vms.json = json;
       e.platform_vms.json_bytes = (uint32_t) strlen (json);
     }
-  world_event (w, item->node, &e);
+  world_deliver (w, scheduled->node, &e);
   g_free (json);
 }
 
 void
-world_platform_item (World *w, Item *item)
+world_platform_handle (World *w, ScheduledEvent *scheduled)
 {
-  if (item->life != w->nodes[item->node].life)
+  if (scheduled->incarnation != w->nodes[scheduled->node].incarnation)
     return;
-  if (item->kind == ITEM_PLATFORM)
-    take_call (w, item);
-  else if (item->action.kind == SS_ACTION_PLATFORM_WATCH)
-    deliver_objects (w, item);
-  else if (item->action.kind == SS_ACTION_PLATFORM_VMS)
-    deliver_vms (w, item);
+  if (scheduled->kind == SCHEDULED_PLATFORM_CALL)
+    answer_call (w, scheduled);
+  else if (scheduled->action.kind == SS_ACTION_PLATFORM_WATCH)
+    deliver_objects (w, scheduled);
+  else if (scheduled->action.kind == SS_ACTION_PLATFORM_VMS)
+    deliver_vms (w, scheduled);
   else
-    deliver_object (w, item);
+    deliver_object (w, scheduled);
 }
--- a/tests/world_target.c
+++ b/tests/world_target.c
@@ -2,16 +2,16 @@
 
 #include "tests/world_internal.h"
 
-#define CONNECT_MS 10
-#define BREAK_PER_MILLE 4
-#define FROZEN_STEP_MS 20
+#define CONNECT_DELAY_MS 10
+#define CONNECTION_LOSS_PER_MILLE 4
+#define FROZEN_RETRY_MS 20
 #define MAX_CONNECTIONS 12
 
 /* --- servers --- */
 
 static bool
-broken_read_status (const SsDialect *dialect, const char *const *row,
-                    uint32_t cells, SsServerState *state)
+read_status_overstating_held (const SsDialect *dialect, const char *const *row,
+                              uint32_t cells, SsServerState *state)
 {
   const SsDialect *real = ss_dialect_sql ();
 
@@ -23,8 +23,9 @@
 }
 
 static bool
-eager_read_status (const SsDialect *dialect, const char *const *row,
-                   uint32_t cells, SsServerState *state)
+read_status_overstating_applied (const SsDialect *dialect,
+                                 const char *const *row, uint32_t cells,
+                                 SsServerState *state)
 {
   const SsDialect *real = ss_dialect_sql ();
 
@@ -36,7 +37,7 @@
 }
 
 static char *
-careless_claim (const SsDialect *dialect, const char *key)
+claim_key_without_uniqueness (const SsDialect *dialect, const char *key)
 {
   (void) dialect;
   return g_strdup_printf ("INSERT INTO elsewhere (id, outcome) VALUES "
@@ -54,17 +55,17 @@
 
       g_snprintf (s->name, sizeof s->name, "s%d", i);
       g_snprintf (s->ip, sizeof s->ip, "10.1.0.%d", i);
-      ss_server_init (&s->server, &w->clock.klass, NULL);
+      ss_server_init (&s->server, &w->clock.base, NULL);
       s->server.max_connections = MAX_CONNECTIONS;
       s->server.apply_lag_ms = world_random (w, 0, 100);
       s->alive = true;
     }
   if (w->params.broken == WORLD_BREAK_HELD)
-    w->dialect.read_status = broken_read_status;
+    w->dialect.read_status = read_status_overstating_held;
   if (w->params.broken == WORLD_BREAK_APPLIED)
-    w->dialect.read_status = eager_read_status;
+    w->dialect.read_status = read_status_overstating_applied;
   if (w->params.broken == WORLD_BREAK_REQUEST)
-    w->dialect.claim_key = careless_claim;
+    w->dialect.claim_key = claim_key_without_uniqueness;
 }
 
 static void
@@ -117,15 +118,15 @@
 /* --- replication --- */
 
 static bool
-can_hear (const World *w, int32_t replica, int32_t primary)
+can_reach_primary (const World *w, int32_t replica, int32_t primary)
 {
   const WorldServer *p = &w->servers[primary];
 
-  return p->alive && !p->frozen && !world_is_cut (w, replica, primary);
+  return p->alive && !p->frozen && !world_is_partitioned (w, replica, primary);
 }
 
 static void
-pull (World *w, int32_t replica, int32_t primary)
+pull_log (World *w, int32_t replica, int32_t primary)
 {
   SsServer *s = &w->servers[replica].server;
   const SsServer *p = &w->servers[primary].server;
@@ -168,14 +169,15 @@
       if (!s->alive || s->frozen)
         continue;
       ss_server_tick (&s->server);
-      if (!ss_server_wants_log (&s->server) || w->clock.now_ms < s->pull_ms)
+      if (!ss_server_wants_log (&s->server)
+          || w->clock.now_ms < s->next_pull_ms)
         continue;
-      s->pull_ms = w->clock.now_ms + world_random (w, 2, 15);
+      s->next_pull_ms = w->clock.now_ms + world_random (w, 2, 15);
       address = g_strsplit (s->server.upstream, " ", 2);
       primary = server_by_ip (w, address[0]);
       g_strfreev (address);
-      if (primary >= 0 && can_hear (w, i, primary))
-        pull (w, i, primary);
+      if (primary >= 0 && can_reach_primary (w, i, primary))
+        pull_log (w, i, primary);
     }
 }
 
@@ -184,33 +186,35 @@
 static uint64_t
 connection_key (const World *w, int32_t node, uint64_t id)
 {
-  return ((uint64_t) node << 60) | ((uint64_t) w->nodes[node].life << 40) | id;
+  return ((uint64_t) node << 60) | ((uint64_t) w->nodes[node].incarnation << 40)
+         | id;
 }
 
 static void
-report_closed (World *w, int32_t node, uint32_t life, uint64_t id, bool refused,
-               const char *sqlstate)
+schedule_closed (World *w, int32_t node, uint32_t incarnation, uint64_t id,
+                 bool refused, const char *sqlstate)
 {
-  Item *item = world_add (w, ITEM_CLOSED, world_random (w, 1, 3));
-
-  item->node = node;
-  item->life = life;
-  item->id = id;
-  item->flag = refused;
-  g_strlcpy (item->sqlstate, sqlstate, sizeof item->sqlstate);
+  ScheduledEvent *scheduled
+      = world_schedule (w, SCHEDULED_TARGET_CLOSED, world_random (w, 1, 3));
+
+  scheduled->node = node;
+  scheduled->incarnation = incarnation;
+  scheduled->id = id;
+  scheduled->flag = refused;
+  g_strlcpy (scheduled->sqlstate, sqlstate, sizeof scheduled->sqlstate);
 }
 
 static void
-drop_connection (World *w, WorldConnection *c, bool tell)
+drop_connection (World *w, WorldConnection *c, bool notify)
 {
-  if (tell)
-    report_closed (w, c->node, c->life, c->id, false, "");
+  if (notify)
+    schedule_closed (w, c->node, c->incarnation, c->id, false, "");
   g_hash_table_remove (w->connections, &c->key);
   free_connection (c);
 }
 
 static void
-drop_where (World *w, int32_t node, int32_t server, bool tell)
+drop_connections (World *w, int32_t node, int32_t server, bool notify)
 {
   GPtrArray *found = g_ptr_array_new ();
   GHashTableIter iter;
@@ -225,14 +229,14 @@
         g_ptr_array_add (found, value);
     }
   for (guint i = 0; i < found->len; i++)
-    drop_connection (w, g_ptr_array_index (found, i), tell);
+    drop_connection (w, g_ptr_array_index (found, i), notify);
   g_ptr_array_free (found, TRUE);
 }
 
 void
-world_node_gone (World *w, int32_t node)
+world_close_node_connections (World *w, int32_t node)
 {
-  drop_where (w, node, -1, false);
+  drop_connections (w, node, -1, false);
 }
 
 void
@@ -244,10 +248,12 @@
     return;
   s->alive = false;
   s->frozen = false;
-  drop_where (w, -1, server, true);
+  drop_connections (w, -1, server, true);
 }
 
-/* The log and the shown term outlive the process; its role does not. */
+/* Restarts a server as a replica that follows no primary.  Its log and highest
+ * term are persistent; its role is not.
+ */
 void
 world_server_restart (World *w, int32_t server)
 {
@@ -277,55 +283,58 @@
 }
 
 static void
-take_connect (World *w, Item *item)
+handle_connect (World *w, ScheduledEvent *scheduled)
 {
-  int32_t server = server_by_ip (w, item->action.text);
+  int32_t server = server_by_ip (w, scheduled->action.text);
   WorldConnection *c;
   SsEvent e = { .kind = SS_EVENT_TARGET_READY };
 
   if (server < 0 || !w->servers[server].alive)
     {
-      report_closed (w, item->node, item->life, item->action.id, true, "");
+      schedule_closed (w, scheduled->node, scheduled->incarnation,
+                       scheduled->action.id, true, "");
       return;
     }
   if (w->servers[server].frozen)
-    return; /* no answer: the node gives up */
+    return; /* no answer: the attempt times out at the node */
   if (count_connections (w, server) >= MAX_CONNECTIONS)
     {
-      report_closed (w, item->node, item->life, item->action.id, false,
-                     "53300");
+      schedule_closed (w, scheduled->node, scheduled->incarnation,
+                       scheduled->action.id, false, "53300");
       return;
     }
   c = g_new0 (WorldConnection, 1);
-  c->key = connection_key (w, item->node, item->action.id);
-  c->node = item->node;
-  c->life = item->life;
-  c->id = item->action.id;
+  c->key = connection_key (w, scheduled->node, scheduled->action.id);
+  c->node = scheduled->node;
+  c->incarnation = scheduled->incarnation;
+  c->id = scheduled->action.id;
   c->server = server;
   c->out = g_byte_array_new ();
   ss_sql_session_init (&c->sql, &w->servers[server].server);
   g_hash_table_insert (w->connections, &c->key, c);
-  e.target.connection = item->action.id;
-  world_event (w, item->node, &e);
+  e.target.connection = scheduled->action.id;
+  world_deliver (w, scheduled->node, &e);
 }
 
 /* --- statements --- */
 
-/* A transaction's statements are run one by one where that is broken. */
+/* WORLD_BREAK_COMMIT skips these statements, so that each write commits on its
+ * own.
+ */
 static bool
-is_transaction_word (const char *sql)
+is_transaction_boundary (const char *sql)
 {
   return g_str_has_prefix (sql, "BEGIN") || g_str_has_prefix (sql, "COMMIT");
 }
 
 static void
-run (World *w, WorldConnection *c, const char *sql)
+run_statement (World *w, WorldConnection *c, const char *sql)
 {
   bool was_primary;
 
   g_byte_array_set_size (c->out, 0);
   c->sql.out = c->out;
-  if (w->params.broken == WORLD_BREAK_COMMIT && is_transaction_word (sql))
+  if (w->params.broken == WORLD_BREAK_COMMIT && is_transaction_boundary (sql))
     sql = "SELECT 1";
   was_primary = c->sql.server->role == SS_ROLE_PRIMARY;
   ss_sql_session_run (&c->sql, sql);
@@ -343,125 +352,127 @@
 }
 
 static void
-add_result (World *w, WorldConnection *c, const SsAction *query)
+schedule_result (World *w, WorldConnection *c, const SsAction *query)
 {
-  Item *item = world_add (w, ITEM_RESULT, world_random (w, 1, 3));
+  ScheduledEvent *scheduled
+      = world_schedule (w, SCHEDULED_TARGET_RESULT, world_random (w, 1, 3));
   const SsStore *store = &c->sql.server->store;
 
-  item->node = c->node;
-  item->life = c->life;
-  item->id = c->id;
-  item->other = c->server;
-  item->flag = !c->sql.failed;
-  item->result.transaction_status = c->sql.status;
-  item->result.commit.offset = c->sql.committed;
-  item->result.commit.term = ss_store_term_at (store, c->sql.committed);
-  item->result.applied.offset = store->applied;
-  item->result.applied.term = ss_store_term_at (store, store->applied);
+  scheduled->node = c->node;
+  scheduled->incarnation = c->incarnation;
+  scheduled->id = c->id;
+  scheduled->index = c->server;
+  scheduled->flag = !c->sql.failed;
+  scheduled->result.transaction_status = c->sql.status;
+  scheduled->result.commit.offset = c->sql.committed;
+  scheduled->result.commit.term = ss_store_term_at (store, c->sql.committed);
+  scheduled->result.applied.offset = store->applied;
+  scheduled->result.applied.term = ss_store_term_at (store, store->applied);
   if (w->params.broken == WORLD_BREAK_APPLIED)
-    item->result.applied = held_position (store);
-  item->result.row_cells = query->want_row ? c->sql.row_cells : 0;
-  g_strlcpy (item->tag, c->sql.tag, sizeof item->tag);
-  g_strlcpy (item->sqlstate, c->sql.sqlstate, sizeof item->sqlstate);
+    scheduled->result.applied = held_position (store);
+  scheduled->result.row_cells = query->want_row ? c->sql.row_cells : 0;
+  g_strlcpy (scheduled->tag, c->sql.tag, sizeof scheduled->tag);
+  g_strlcpy (scheduled->sqlstate, c->sql.sqlstate, sizeof scheduled->sqlstate);
   for (uint32_t i = 0; i < c->sql.row_cells; i++)
     {
-      char *joined
-          = g_strconcat (item->row ? item->row : "", c->sql.row[i], "\n", NULL);
+      char *joined = g_strconcat (scheduled->row ? scheduled->row : "",
+                                  c->sql.row[i], "\n", NULL);
 
-      g_free (item->row);
-      item->row = joined;
+      g_free (scheduled->row);
+      scheduled->row = joined;
     }
-  item->wire = g_bytes_new (item->row ? item->row : "",
-                            item->row ? strlen (item->row) : 0);
+  scheduled->wire = g_bytes_new (scheduled->row ? scheduled->row : "",
+                                 scheduled->row ? strlen (scheduled->row) : 0);
 }
 
 static void
-take_query (World *w, Item *item)
+handle_query (World *w, ScheduledEvent *scheduled)
 {
-  uint64_t key = connection_key (w, item->node, item->action.id);
+  uint64_t key = connection_key (w, scheduled->node, scheduled->action.id);
   WorldConnection *c = g_hash_table_lookup (w->connections, &key);
-  Item *later;
+  ScheduledEvent *retry;
 
-  if (!c || item->life != w->nodes[item->node].life)
+  if (!c || scheduled->incarnation != w->nodes[scheduled->node].incarnation)
     return;
   if (w->servers[c->server].frozen)
     {
-      later = world_add (w, ITEM_QUERY, FROZEN_STEP_MS);
-      later->node = item->node;
-      later->life = item->life;
-      later->action = item->action;
-      memset (&item->action, 0, sizeof item->action);
+      retry = world_schedule (w, SCHEDULED_TARGET_QUERY, FROZEN_RETRY_MS);
+      retry->node = scheduled->node;
+      retry->incarnation = scheduled->incarnation;
+      retry->action = scheduled->action;
+      memset (&scheduled->action, 0, sizeof scheduled->action);
       return;
     }
-  if (w->params.faults && world_chance (w, BREAK_PER_MILLE))
+  if (w->params.faults && world_chance (w, CONNECTION_LOSS_PER_MILLE))
     {
-      /* Lost before it ran, or its answer lost after. */
+      /* The connection is lost before the statement runs or after it. */
       if (world_chance (w, 500))
-        run (w, c, item->action.text);
+        run_statement (w, c, scheduled->action.text);
       drop_connection (w, c, true);
       return;
     }
-  run (w, c, item->action.text);
-  add_result (w, c, &item->action);
+  run_statement (w, c, scheduled->action.text);
+  schedule_result (w, c, &scheduled->action);
 }
 
 static void
-deliver_result (World *w, Item *item)
+deliver_result (World *w, ScheduledEvent *scheduled)
 {
-  static uint64_t crossing;
+  static uint64_t results;
   SsEvent e = { .kind = SS_EVENT_TARGET_RESULT };
-  uint64_t key = connection_key (w, item->node, item->id);
+  uint64_t key = connection_key (w, scheduled->node, scheduled->id);
   char **cells;
 
   if (!g_hash_table_contains (w->connections, &key))
     return;
-  if (w->params.broken == WORLD_BREAK_ANSWER && ++crossing % 50 == 0)
+  if (w->params.broken == WORLD_BREAK_ANSWER && ++results % 50 == 0)
     {
-      g_bytes_unref (item->wire);
-      item->wire = g_bytes_new_static ("other\n", 6);
+      g_bytes_unref (scheduled->wire);
+      scheduled->wire = g_bytes_new_static ("other\n", 6);
     }
-  cells = g_strsplit (item->row ? item->row : "", "\n", -1);
-  item->result.ok = item->flag;
-  item->result.sqlstate = item->sqlstate;
-  item->result.tag = item->tag;
-  item->result.wire = item->wire;
-  item->result.row
-      = item->result.row_cells ? (const char *const *) cells : NULL;
-  e.target_result.connection = item->id;
-  e.target_result.result = &item->result;
-  world_event (w, item->node, &e);
+  cells = g_strsplit (scheduled->row ? scheduled->row : "", "\n", -1);
+  scheduled->result.ok = scheduled->flag;
+  scheduled->result.sqlstate = scheduled->sqlstate;
+  scheduled->result.tag = scheduled->tag;
+  scheduled->result.wire = scheduled->wire;
+  scheduled->result.row
+      = scheduled->result.row_cells ? (const char *const *) cells : NULL;
+  e.target_result.connection = scheduled->id;
+  e.target_result.result = &scheduled->result;
+  world_deliver (w, scheduled->node, &e);
   g_strfreev (cells);
 }
 
 static void
-deliver_closed (World *w, Item *item)
+deliver_closed (World *w, ScheduledEvent *scheduled)
 {
   SsEvent e = { .kind = SS_EVENT_TARGET_CLOSED };
 
-  e.target.connection = item->id;
-  e.target.refused = item->flag;
-  e.target.sqlstate = *item->sqlstate ? item->sqlstate : NULL;
-  world_event (w, item->node, &e);
+  e.target.connection = scheduled->id;
+  e.target.refused = scheduled->flag;
+  e.target.sqlstate = *scheduled->sqlstate ? scheduled->sqlstate : NULL;
+  world_deliver (w, scheduled->node, &e);
 }
 
 void
-world_target_item (World *w, Item *item)
+world_target_handle (World *w, ScheduledEvent *scheduled)
 {
-  if (item->life != w->nodes[item->node].life || !w->nodes[item->node].alive)
+  if (scheduled->incarnation != w->nodes[scheduled->node].incarnation
+      || !w->nodes[scheduled->node].alive)
     return;
-  switch (item->kind)
+  switch (scheduled->kind)
     {
-    case ITEM_CONNECT:
-      take_connect (w, item);
+    case SCHEDULED_TARGET_CONNECT:
+      handle_connect (w, scheduled);
       break;
-    case ITEM_QUERY:
-      take_query (w, item);
+    case SCHEDULED_TARGET_QUERY:
+      handle_query (w, scheduled);
       break;
-    case ITEM_RESULT:
-      deliver_result (w, item);
+    case SCHEDULED_TARGET_RESULT:
+      deliver_result (w, scheduled);
       break;
     default:
-      deliver_closed (w, item);
+      deliver_closed (w, scheduled);
       break;
     }
 }
@@ -471,7 +482,7 @@
 {
   uint64_t key = connection_key (w, node, action->id);
   WorldConnection *c = g_hash_table_lookup (w->connections, &key);
-  Item *item;
+  ScheduledEvent *scheduled;
 
   if (action->kind == SS_ACTION_TARGET_CLOSE)
     {
@@ -479,12 +490,14 @@
         drop_connection (w, c, false);
       return;
     }
-  item = world_add (
-      w, action->kind == SS_ACTION_TARGET_CONNECT ? ITEM_CONNECT : ITEM_QUERY,
-      action->kind == SS_ACTION_TARGET_CONNECT ? CONNECT_MS
+  scheduled = world_schedule (
+      w,
+      action->kind == SS_ACTION_TARGET_CONNECT ? SCHEDULED_TARGET_CONNECT
+                                               : SCHEDULED_TARGET_QUERY,
+      action->kind == SS_ACTION_TARGET_CONNECT ? CONNECT_DELAY_MS
                                                : world_random (w, 0, 2));
-  item->node = node;
-  item->life = w->nodes[node].life;
-  item->action = *action;
+  scheduled->node = node;
+  scheduled->incarnation = w->nodes[node].incarnation;
+  scheduled->action = *action;
   memset (action, 0, sizeof *action);
 }
