--- a/tests/world.c
+++ b/tests/world.c
@@ -108,22 +108,22 @@
 send_message (World *w, int32_t from, SsAction *a)
 {
   int32_t to = node_by_name (w, a->name);
-  bool doubled = a->is_control && w->params.faults && world_chance (w, 20);
-  bool overtakes = a->is_control && w->params.faults && world_chance (w, 50);
+  bool duplicated = a->is_control && w->params.faults && world_chance (w, 20);
+  bool reordered = a->is_control && w->params.faults && world_chance (w, 50);
 
   if (to < 0 || !w->nodes[to].alive
       || world_is_partitioned (w, world_domain_of (from), world_domain_of (to)))
     return;
-  for (int32_t i = 0; i < (doubled ? 2 : 1); i++)
+  for (int32_t i = 0; i < (duplicated ? 2 : 1); i++)
     {
-      int64_t delay_ms = world_random (w, 1, overtakes ? 40 : 3);
+      int64_t delay_ms = world_random (w, 1, reordered ? 40 : 3);
       ScheduledEvent *scheduled;
 
-      if (!overtakes)
+      if (!reordered)
         delay_ms
             = MAX (delay_ms, w->last_delivery_ms[from][to] - w->clock.now_ms);
       scheduled = world_schedule (w, SCHEDULED_PEER_MESSAGE, delay_ms);
-      if (!overtakes)
+      if (!reordered)
         w->last_delivery_ms[from][to] = scheduled->at_ms;
       scheduled->node = to;
       scheduled->incarnation = w->nodes[to].incarnation;
