--- a/tests/line_world.c
+++ b/tests/line_world.c
@@ -11,7 +11,7 @@
 #define THINK_TIME_MAX_MS 15
 #define REPLY_MAX_MS 5000
 #define APPLY_LAG_MS 20
-#define PROMOTE_MS 300
+#define PROMOTION_DELAY_MS 300
 
 typedef struct
 {
@@ -19,8 +19,7 @@
   SsEvent event;
   SsTargetResult result;
   GBytes *wire;
-  /* Owns copies of the objects' texts: the objects may change before delivery.
-   */
+  /* Copies of the objects' texts, which may change before delivery. */
   GStringChunk *texts;
   char *cells[9];
   uint32_t cell_count;
@@ -154,7 +153,7 @@
   w->last_fencing_token = a->number;
   w->promotions++;
   w->promoted = find_server (w, a->text);
-  w->promote_ms = w->now_ms + PROMOTE_MS;
+  w->promote_ms = w->now_ms + PROMOTION_DELAY_MS;
   d->event.platform_object.call = a->id;
   d->event.platform_object.outcome = SS_PLATFORM_DONE;
 }
--- a/tests/world_internal.h
+++ b/tests/world_internal.h
@@ -30,7 +30,7 @@
   int32_t node;         /* its receiver, or the source of the action */
   uint32_t incarnation; /* of the node; the event is void in a later one */
   int32_t index;        /* of the peer node, server or caller */
-  uint64_t epoch;       /* PEER_MESSAGE: of the connection; see World.epochs */
+  uint64_t epoch;       /* PEER_MESSAGE: of the connection; see epochs below */
   uint64_t id;     /* of the connection or step; PLATFORM_CALL: call time, ms */
   bool flag;       /* TARGET_RESULT: success; TARGET_CLOSED: refused */
   SsAction action; /* owned; target and platform events */
@@ -113,7 +113,7 @@
 
 typedef struct
 {
-  SsClock base; /* must be first: world_now casts it to WorldClock */
+  SsClock base; /* must be first: the clock function casts it */
   int64_t now_ms;
 } WorldClock;
 
--- a/tests/world_platform.c
+++ b/tests/world_platform.c
@@ -159,9 +159,7 @@
   g_tree_foreach (w->objects, collect_newer_object, &newer);
 }
 
-/* Returns whether the answer to an update is lost; the update itself has taken
- * effect.
- */
+/* Returns whether the answer to an update is lost after its execution. */
 static bool
 loses_put_answer (World *w)
 {
