--- a/tests/test_catalogue.c
+++ b/tests/test_catalogue.c
@@ -1,3 +1,5 @@
+/* Log events and SQLSTATEs: uniqueness, and agreement with the documentation.
+ */
 #include <glib.h>
 #include <string.h>
 
--- a/tests/test_command.c
+++ b/tests/test_command.c
@@ -1,4 +1,4 @@
-/* The operators' language, and orders against the platform. */
+/* Operator commands: parsing, and commands that change platform objects. */
 #include <string.h>
 
 #include "core/command.h"
@@ -24,7 +24,7 @@
 }
 
 static void
-names_column_and_what_was_expected (void)
+syntax_errors_name_column_and_expected_word (void)
 {
   expect_error ("show vms", NULL);
   expect_error ("SHOW Targets WHERE lag_entries >= 5 and role = 'primary' "
@@ -49,7 +49,7 @@
 }
 
 static void
-selects_and_orders (void)
+show_filters_and_sorts (void)
 {
   json_t *rows = json_loads ("[{\"name\":\"a\",\"n\":3,\"up\":true},"
                              "{\"name\":\"b\",\"n\":1,\"up\":true},"
@@ -74,7 +74,7 @@
   json_decref (rows);
 }
 
-/* --- orders --- */
+/* --- commands that change platform objects --- */
 
 static void
 put_object (const char *key, int64_t version, const char *json)
@@ -104,9 +104,11 @@
   put_object ("service/s", 4, SERVICE_JSON);
 }
 
-/* The last action of KIND; the others are dropped. */
+/* Takes all pending actions.  Returns the last one of KIND in *FOUND and drops
+ * the others.
+ */
 static bool
-take (SsActionKind kind, SsAction *found)
+take_last_action (SsActionKind kind, SsAction *found)
 {
   SsAction a;
   bool any = false;
@@ -127,7 +129,7 @@
 }
 
 static void
-order (const char *text, bool may_change)
+run_command (const char *text, bool may_change)
 {
   SsEvent e = { .kind = SS_EVENT_OPERATOR };
 
@@ -138,8 +140,8 @@
 }
 
 static void
-answer (const SsAction *call, SsPlatformOutcome outcome, int64_t version,
-        const char *json, int64_t now_ms)
+answer_call (const SsAction *call, SsPlatformOutcome outcome, int64_t version,
+             const char *json, int64_t now_ms)
 {
   SsEvent e = { .kind = SS_EVENT_PLATFORM_OBJECT };
 
@@ -153,44 +155,44 @@
 }
 
 static void
-expect_verdict (SsVerdict verdict, const char *words)
+expect_verdict (SsVerdict verdict, const char *excerpt)
 {
   SsAction reply;
 
-  CU_ASSERT (take (SS_ACTION_OPERATOR_REPLY, &reply));
+  CU_ASSERT (take_last_action (SS_ACTION_OPERATOR_REPLY, &reply));
   CU_ASSERT (reply.verdict == verdict);
-  CU_ASSERT (reply.text && strstr (reply.text, words) != NULL);
+  CU_ASSERT (reply.text && strstr (reply.text, excerpt) != NULL);
   ss_action_clear (&reply);
 }
 
 static void
-refuses_at_once (void)
+invalid_commands_are_refused_at_once (void)
 {
   begin ();
-  order ("set service s weight = 5", false);
+  run_command ("set service s weight = 5", false);
   expect_verdict (SS_VERDICT_NOT_RUN, "bearer token");
-  order ("set service s weight = 0", true);
+  run_command ("set service s weight = 0", true);
   expect_verdict (SS_VERDICT_NOT_RUN, "integer from 1 to 1000");
-  order ("set service s colour = 1", true);
+  run_command ("set service s colour = 1", true);
   expect_verdict (SS_VERDICT_NOT_RUN, "unknown member");
-  order ("set service none weight = 1", true);
+  run_command ("set service none weight = 1", true);
   expect_verdict (SS_VERDICT_NOT_RUN, "no such service");
-  order ("stop vm none", true);
+  run_command ("stop vm none", true);
   expect_verdict (SS_VERDICT_NOT_RUN, "no such live vm");
   ss_node_finish (&node);
 }
 
 static void
-the_loser_of_a_conflict_hears_what_won (void)
+conflict_reports_the_winning_version (void)
 {
   SsAction put;
 
   begin ();
-  order ("set service s weight = 5", true);
-  CU_ASSERT (take (SS_ACTION_PLATFORM_PUT, &put));
+  run_command ("set service s weight = 5", true);
+  CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
   CU_ASSERT (put.number == 4);
-  answer (&put, SS_PLATFORM_CONFLICT, 9, "{\"group\":\"g\",\"weight\":7}",
-          NOW_MS);
+  answer_call (&put, SS_PLATFORM_CONFLICT, 9, "{\"group\":\"g\",\"weight\":7}",
+               NOW_MS);
   expect_verdict (SS_VERDICT_NOT_RUN, "version 9 won");
   CU_ASSERT (ss_config_service (&node.config, "s")->weight == 7);
   ss_action_clear (&put);
@@ -198,20 +200,20 @@
 }
 
 static void
-a_lost_answer_is_read_back (void)
+write_with_lost_answer_is_read_back (void)
 {
   SsEvent tick = { .kind = SS_EVENT_TICK };
   SsAction put;
   SsAction get;
 
   begin ();
-  order ("set service s weight = 5", true);
-  CU_ASSERT (take (SS_ACTION_PLATFORM_PUT, &put));
-  answer (&put, SS_PLATFORM_UNKNOWN, 0, NULL, NOW_MS);
-  CU_ASSERT (!take (SS_ACTION_OPERATOR_REPLY, &get));
+  run_command ("set service s weight = 5", true);
+  CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
+  answer_call (&put, SS_PLATFORM_UNKNOWN, 0, NULL, NOW_MS);
+  CU_ASSERT (!take_last_action (SS_ACTION_OPERATOR_REPLY, &get));
   ss_node_on_event (&node, &tick, NOW_MS + 300);
-  CU_ASSERT (take (SS_ACTION_PLATFORM_GET, &get));
-  answer (&get, SS_PLATFORM_DONE, 10, put.text, NOW_MS + 310);
+  CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_GET, &get));
+  answer_call (&get, SS_PLATFORM_DONE, 10, put.text, NOW_MS + 310);
   expect_verdict (SS_VERDICT_RAN, "\"version\":10");
   CU_ASSERT (ss_config_service (&node.config, "s")->weight == 5);
   ss_action_clear (&put);
@@ -220,29 +222,31 @@
 }
 
 static void
-an_unanswered_change_may_have_run (void)
+unconfirmed_write_may_have_run (void)
 {
   SsEvent tick = { .kind = SS_EVENT_TICK };
   SsAction put;
   SsAction get;
 
   begin ();
-  order ("set service s weight = 5", true);
-  CU_ASSERT (take (SS_ACTION_PLATFORM_PUT, &put));
-  answer (&put, SS_PLATFORM_UNKNOWN, 0, NULL, NOW_MS);
+  run_command ("set service s weight = 5", true);
+  CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
+  answer_call (&put, SS_PLATFORM_UNKNOWN, 0, NULL, NOW_MS);
   ss_node_on_event (&node, &tick, NOW_MS + 300);
-  CU_ASSERT (take (SS_ACTION_PLATFORM_GET, &get));
-  /* The old version: the change may still be under way. */
-  answer (&get, SS_PLATFORM_DONE, 4, SERVICE_JSON, NOW_MS + 310);
+  CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_GET, &get));
+  /* The object still has its old version: the write may yet take effect. */
+  answer_call (&get, SS_PLATFORM_DONE, 4, SERVICE_JSON, NOW_MS + 310);
   expect_verdict (SS_VERDICT_MAY_HAVE_RUN, "does not show the change");
   ss_action_clear (&put);
   ss_action_clear (&get);
   ss_node_finish (&node);
 }
 
-/* Of two orders that mean the same term, the later one finds it gone. */
+/* Two operators may request promotions that are conditional on the same term.
+ * The second one is refused once the first promotion has ended that term.
+ */
 static void
-order_for_a_past_term_is_refused (void)
+promotion_for_a_past_term_is_refused (void)
 {
   SsAction put;
 
@@ -252,10 +256,10 @@
               "\"failure_domain\":\"d\"}");
   put_object ("group/g", 6,
               "{\"term\":2,\"primary\":\"t1\",\"operation\":\"x\"}");
-  order ("promote group g if term 1", true);
+  run_command ("promote group g if term 1", true);
   expect_verdict (SS_VERDICT_NOT_RUN, "term 1 is not in force");
-  order ("promote group g if term 2", true);
-  CU_ASSERT (take (SS_ACTION_PLATFORM_PUT, &put));
+  run_command ("promote group g if term 2", true);
+  CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
   CU_ASSERT (g_strcmp0 (put.name, "group/g") == 0);
   CU_ASSERT (put.number == 6);
   ss_action_clear (&put);
@@ -263,13 +267,17 @@
 }
 
 CU_TestInfo test_command[] = {
-  { "names column and what was expected", names_column_and_what_was_expected },
-  { "selects and orders", selects_and_orders },
-  { "refuses at once", refuses_at_once },
-  { "the loser of a conflict hears what won",
-    the_loser_of_a_conflict_hears_what_won },
-  { "a lost answer is read back", a_lost_answer_is_read_back },
-  { "an unanswered change may have run", an_unanswered_change_may_have_run },
-  { "order for a past term is refused", order_for_a_past_term_is_refused },
+  { "syntax errors name column and expected word",
+    syntax_errors_name_column_and_expected_word },
+  { "show filters and sorts", show_filters_and_sorts },
+  { "invalid commands are refused at once",
+    invalid_commands_are_refused_at_once },
+  { "conflict reports the winning version",
+    conflict_reports_the_winning_version },
+  { "write with lost answer is read back",
+    write_with_lost_answer_is_read_back },
+  { "unconfirmed write may have run", unconfirmed_write_may_have_run },
+  { "promotion for a past term is refused",
+    promotion_for_a_past_term_is_refused },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -1,3 +1,4 @@
+/* Adoption of platform objects into the configuration. */
 #include <string.h>
 
 #include "core/config.h"
@@ -19,7 +20,7 @@
 }
 
 static void
-never_goes_back (void)
+only_newer_versions_are_adopted (void)
 {
   SsConfig c;
 
@@ -33,7 +34,7 @@
 }
 
 static void
-keeps_what_was_in_force_on_bad_input (void)
+invalid_object_changes_nothing (void)
 {
   static const char *const bad[] = {
     "{}",
@@ -60,7 +61,7 @@
 }
 
 static void
-groups_find_their_servers (void)
+groups_find_servers_and_primary (void)
 {
   SsConfig c;
   SsGroup *g;
@@ -76,7 +77,7 @@
 }
 
 static void
-services_have_kinds (void)
+read_kinds_of_services_are_parsed (void)
 {
   SsConfig c;
   const SsService *s;
@@ -98,10 +99,9 @@
 }
 
 CU_TestInfo test_config[] = {
-  { "never goes back", never_goes_back },
-  { "keeps what was in force on bad input",
-    keeps_what_was_in_force_on_bad_input },
-  { "groups find their servers", groups_find_their_servers },
-  { "services have kinds", services_have_kinds },
+  { "only newer versions are adopted", only_newer_versions_are_adopted },
+  { "invalid object changes nothing", invalid_object_changes_nothing },
+  { "groups find servers and primary", groups_find_servers_and_primary },
+  { "read kinds of services are parsed", read_kinds_of_services_are_parsed },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -1,14 +1,16 @@
-/* Changes of primary that the platform carries out. */
+/* Failover with promotions that the platform carries out. */
 #include <string.h>
 
 #include "tests/line_world.h"
 #include "tests/unit.h"
 
-#define CHANGE_MAX_MS 3000
+#define FAILOVER_MAX_MS 3000
 
-/* Says TEXT until it is run; returns the time that this took. */
+/* Repeats TEXT in SESSION until it runs, for at most 2 * FAILOVER_MAX_MS.
+ * Returns the time that this took, in milliseconds.
+ */
 static int64_t
-insist (LineWorld *w, uint32_t session, const char *text)
+retry_until_run (LineWorld *w, uint32_t session, const char *text)
 {
   int64_t since_ms = w->now_ms;
 
@@ -18,7 +20,7 @@
       line_world_advance (w, 50);
     }
   while (w->sessions[session - 1].verdict != SS_VERDICT_RAN
-         && w->now_ms - since_ms < 2 * CHANGE_MAX_MS);
+         && w->now_ms - since_ms < 2 * FAILOVER_MAX_MS);
   return w->now_ms - since_ms;
 }
 
@@ -28,77 +30,83 @@
   LineWorld w;
 
   line_world_init (&w, 1, 2, 8);
-  CU_ASSERT (insist (&w, 1, "WRITE 1a x") < 500);
+  CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a x") < 500);
   line_world_crash (&w, 0);
-  CU_ASSERT (insist (&w, 1, "WRITE 1a y") < CHANGE_MAX_MS);
+  CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a y") < FAILOVER_MAX_MS);
   CU_ASSERT (w.promotions == 1);
   CU_ASSERT (ss_config_group (&w.node.config, "g")->term == 2);
   CU_ASSERT (w.violations == 0);
   line_world_finish (&w);
 }
 
-/* The one that holds most leads; a replica that hears nothing holds less. */
+/* The server with the longest log is promoted, not the replica that received
+ * nothing.
+ */
 static void
-server_with_most_is_chosen (void)
+most_advanced_server_is_promoted (void)
 {
   LineWorld w;
 
   line_world_init (&w, 2, 2, 8);
   w.servers[1].deaf = true;
   for (uint32_t i = 0; i < 5; i++)
-    CU_ASSERT (insist (&w, 1, "WRITE 1a x") < 500);
+    CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a x") < 500);
   line_world_crash (&w, 0);
-  line_world_advance (&w, CHANGE_MAX_MS);
+  line_world_advance (&w, FAILOVER_MAX_MS);
   CU_ASSERT (w.promoted == &w.servers[2]);
   CU_ASSERT (w.servers[2].received.offset >= 5);
-  /* Alone it acknowledges nothing; with the one that hears again it does. */
+  /* Without a majority the new primary's commits are not acknowledged.  They
+   * are once the other replica receives entries again.
+   */
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a y"));
   CU_ASSERT (w.sessions[0].verdict == SS_VERDICT_MAY_HAVE_RUN);
   w.servers[1].deaf = false;
   w.servers[1].term = w.servers[2].term;
-  CU_ASSERT (insist (&w, 1, "WRITE 1a z") < CHANGE_MAX_MS);
+  CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a z") < FAILOVER_MAX_MS);
   line_world_finish (&w);
 }
 
-/* A server that joins the group meanwhile changes the others' places in it. */
+/* A server that is added during a promotion shifts the indexes of the others in
+ * the group.  The promotion must choose the most advanced one, as before.
+ */
 static void
-joining_server_mixes_nothing_up (void)
+server_added_during_promotion_does_no_harm (void)
 {
   LineWorld w;
 
   line_world_init (&w, 7, 2, 8);
   w.servers[1].deaf = true;
   for (uint32_t i = 0; i < 5; i++)
-    CU_ASSERT (insist (&w, 1, "WRITE 1a x") < 500);
+    CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a x") < 500);
   line_world_crash (&w, 0);
   for (uint32_t i = 0; i < 2000 && w.servers[2].barred_term == 0; i++)
     line_world_advance (&w, 1);
   line_world_put (&w, "target/t0",
                   "{\"group\":\"g\",\"ip\":\"10.0.1.9\",\"port\":1,"
                   "\"failure_domain\":\"d\",\"slots\":2}");
-  line_world_advance (&w, CHANGE_MAX_MS);
+  line_world_advance (&w, FAILOVER_MAX_MS);
   CU_ASSERT (!w.promoted || w.promoted == &w.servers[2]);
   line_world_finish (&w);
 }
 
-/* With one server left nobody can tell what a majority acknowledged. */
+/* With one server of three left, nothing shows what a majority acknowledged. */
 static void
-single_server_is_not_chosen (void)
+single_server_is_not_promoted (void)
 {
   LineWorld w;
 
   line_world_init (&w, 3, 2, 8);
-  CU_ASSERT (insist (&w, 1, "WRITE 1a x") < 500);
+  CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a x") < 500);
   line_world_crash (&w, 0);
   line_world_crash (&w, 1);
-  line_world_advance (&w, CHANGE_MAX_MS);
+  line_world_advance (&w, FAILOVER_MAX_MS);
   CU_ASSERT (w.promotions == 0);
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a y"));
   CU_ASSERT (w.sessions[0].verdict == SS_VERDICT_NOT_RUN);
   line_world_finish (&w);
 }
 
-/* A primary that leaves is replaced before it goes; nothing is lost. */
+/* A draining primary is replaced before it stops, and no write is lost. */
 static void
 draining_primary_is_replaced (void)
 {
@@ -106,20 +114,22 @@
 
   line_world_init (&w, 4, 2, 8);
   for (uint32_t i = 0; i < 5; i++)
-    CU_ASSERT (insist (&w, 1, "WRITE 1a x") < 500);
+    CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a x") < 500);
   line_world_put (&w, "target/t1",
                   "{\"group\":\"g\",\"ip\":\"10.0.1.1\",\"port\":1,"
                   "\"failure_domain\":\"d\",\"slots\":2,\"draining\":true}");
-  line_world_advance (&w, CHANGE_MAX_MS);
+  line_world_advance (&w, FAILOVER_MAX_MS);
   CU_ASSERT (w.promotions == 1);
   CU_ASSERT (w.promoted != &w.servers[0]);
   CU_ASSERT (w.promoted && w.promoted->received.offset >= 5);
-  CU_ASSERT (insist (&w, 1, "WRITE 1a y") < 500);
+  CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a y") < 500);
   CU_ASSERT (w.violations == 0);
   line_world_finish (&w);
 }
 
-/* A server that leads a later term than the object says is taken over. */
+/* A server that leads a later term than the group's object has is named there
+ * as the primary, without a promotion.
+ */
 static void
 later_primary_is_adopted (void)
 {
@@ -129,15 +139,15 @@
   w.promoted = &w.servers[1];
   w.promote_ms = w.now_ms;
   w.servers[0].role = SS_SERVER_REPLICA;
-  CU_ASSERT (insist (&w, 1, "WRITE 1a x") < 2 * CHANGE_MAX_MS);
+  CU_ASSERT (retry_until_run (&w, 1, "WRITE 1a x") < 2 * FAILOVER_MAX_MS);
   CU_ASSERT (w.promotions == 0);
   CU_ASSERT_STRING_EQUAL (ss_config_group (&w.node.config, "g")->primary, "t2");
   line_world_finish (&w);
 }
 
-/* How long a change of primary will take follows from those seen. */
+/* The expected duration of a failover follows from the observed ones. */
 static void
-waits_follow_what_was_seen (void)
+failover_estimate_follows_observed_durations (void)
 {
   SsPrediction p = { 0 };
 
@@ -154,7 +164,7 @@
 }
 
 static void
-hopeless_wait_is_refused_at_once (void)
+write_without_servers_is_refused_at_once (void)
 {
   LineWorld w;
   int64_t since_ms;
@@ -163,7 +173,7 @@
   line_world_crash (&w, 0);
   line_world_crash (&w, 1);
   line_world_crash (&w, 2);
-  line_world_advance (&w, 2 * CHANGE_MAX_MS);
+  line_world_advance (&w, 2 * FAILOVER_MAX_MS);
   since_ms = w.now_ms;
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a x"));
   CU_ASSERT (w.sessions[0].verdict == SS_VERDICT_NOT_RUN);
@@ -171,12 +181,12 @@
   line_world_finish (&w);
 }
 
-/* Another vm claimed the group, and is gone; a third one holds a lease and
- * does not answer.  Its lease ended while the claim was waited for, and is not
- * waited for anew.
+/* VM "b" claimed the group and is gone; VM "c" holds a lease and does not
+ * answer.  No VM can renew a lease after the first claim, so the second claim
+ * waits only for the rest of the time that began with the first one.
  */
 static void
-second_claim_waits_for_no_lease_anew (void)
+second_claim_waits_for_rest_of_lease_only (void)
 {
   LineWorld w;
   SsPromotion *p;
@@ -197,7 +207,9 @@
   line_world_finish (&w);
 }
 
-/* A claim of this vm's own waits for a holder that does not answer. */
+/* The first claim waits until the lease of a holder that does not answer has
+ * expired.
+ */
 static void
 first_claim_waits_for_the_lease (void)
 {
@@ -210,7 +222,7 @@
   line_world_crash (&w, 0);
   line_world_advance (&w, SS_LEASE_MS);
   CU_ASSERT (w.promotions == 0);
-  line_world_advance (&w, CHANGE_MAX_MS);
+  line_world_advance (&w, FAILOVER_MAX_MS);
   CU_ASSERT (w.promotions == 1);
   CU_ASSERT (w.violations == 0);
   line_world_finish (&w);
@@ -218,15 +230,18 @@
 
 CU_TestInfo test_failover[] = {
   { "crashed primary is replaced", crashed_primary_is_replaced },
-  { "server with most is chosen", server_with_most_is_chosen },
-  { "joining server mixes nothing up", joining_server_mixes_nothing_up },
-  { "single server is not chosen", single_server_is_not_chosen },
+  { "most advanced server is promoted", most_advanced_server_is_promoted },
+  { "server added during promotion does no harm",
+    server_added_during_promotion_does_no_harm },
+  { "single server is not promoted", single_server_is_not_promoted },
   { "draining primary is replaced", draining_primary_is_replaced },
   { "later primary is adopted", later_primary_is_adopted },
-  { "waits follow what was seen", waits_follow_what_was_seen },
-  { "second claim waits for no lease anew",
-    second_claim_waits_for_no_lease_anew },
+  { "failover estimate follows observed durations",
+    failover_estimate_follows_observed_durations },
+  { "second claim waits for rest of lease only",
+    second_claim_waits_for_rest_of_lease_only },
   { "first claim waits for the lease", first_claim_waits_for_the_lease },
-  { "hopeless wait is refused at once", hopeless_wait_is_refused_at_once },
+  { "write without servers is refused at once",
+    write_without_servers_is_refused_at_once },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_histories.c
+++ b/tests/test_histories.c
@@ -1,3 +1,6 @@
+/* Seeded histories of the simulated system.  Each test but the first disables
+ * one safety mechanism and requires that the checks detect the violations.
+ */
 #include "tests/unit.h"
 #include "tests/world.h"
 
@@ -28,11 +31,11 @@
     }
 }
 
-/* A check's findings with a mechanism broken, up to the first history that
- * has some.
+/* Runs histories with a mechanism broken, up to the first one in which the
+ * check READ finds violations.  Returns their number.
  */
 static uint64_t
-findings (WorldBreak broken, uint64_t (*read) (const WorldReport *r))
+count_violations (WorldBreak broken, uint64_t (*read) (const WorldReport *r))
 {
   uint64_t sum = 0;
 
@@ -72,57 +75,58 @@
 }
 
 static void
-false_positions_lose_writes (void)
+false_log_positions_lose_writes (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_HELD, lost) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_HELD, lost) > 0);
 }
 
 static void
-an_unfenced_primary_loses_writes (void)
+unfenced_primary_loses_writes (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_TERM, lost) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_TERM, lost) > 0);
 }
 
 static void
-ids_that_are_not_unique_double_writes (void)
+unenforced_idempotency_keys_double_writes (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_REQUEST, doubled) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_REQUEST, doubled) > 0);
 }
 
 static void
 false_applied_positions_give_stale_reads (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_APPLIED, stale) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_APPLIED, stale) > 0);
 }
 
 static void
-crossed_answers_are_seen (void)
+crossed_answers_are_detected (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_ANSWER, crossed) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_ANSWER, crossed) > 0);
 }
 
 static void
-torn_transactions_are_seen (void)
+partial_commits_are_detected (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_COMMIT, lost) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_COMMIT, lost) > 0);
 }
 
 static void
-changing_names_give_stale_reads (void)
+swapped_identities_give_stale_reads (void)
 {
-  CU_ASSERT (findings (WORLD_BREAK_IDENTITY, stale) > 0);
+  CU_ASSERT (count_violations (WORLD_BREAK_IDENTITY, stale) > 0);
 }
 
 CU_TestInfo test_histories[] = {
   { "same seed gives same actions", same_seed_gives_same_actions },
-  { "false positions lose writes", false_positions_lose_writes },
-  { "an unfenced primary loses writes", an_unfenced_primary_loses_writes },
-  { "ids that are not unique double writes",
-    ids_that_are_not_unique_double_writes },
+  { "false log positions lose writes", false_log_positions_lose_writes },
+  { "unfenced primary loses writes", unfenced_primary_loses_writes },
+  { "unenforced idempotency keys double writes",
+    unenforced_idempotency_keys_double_writes },
   { "false applied positions give stale reads",
     false_applied_positions_give_stale_reads },
-  { "crossed answers are seen", crossed_answers_are_seen },
-  { "torn transactions are seen", torn_transactions_are_seen },
-  { "changing names give stale reads", changing_names_give_stale_reads },
+  { "crossed answers are detected", crossed_answers_are_detected },
+  { "partial commits are detected", partial_commits_are_detected },
+  { "swapped identities give stale reads",
+    swapped_identities_give_stale_reads },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_line.c
+++ b/tests/test_line.c
@@ -1,4 +1,5 @@
-/* The core with the line dialect: sessions on shared connections. */
+/* The core with the line dialect: sessions multiplexed on shared connections.
+ */
 #include <string.h>
 
 #include "tests/line_world.h"
@@ -7,7 +8,7 @@
 #define INTERLEAVINGS 1000
 
 static void
-expect_sound (const LineWorld *w, uint32_t seed)
+expect_no_violations (const LineWorld *w, uint32_t seed)
 {
   if (w->violations)
     g_printerr ("seed %u: %u violations, first %s\n", seed, w->violations,
@@ -15,9 +16,10 @@
   CU_ASSERT (w->violations == 0);
 }
 
-/* Values and shapes of one session are never seen by another. */
+/* Variables and prepared statements of a session are never visible to another.
+ */
 static void
-interleavings_keep_sessions_apart (void)
+interleaved_sessions_stay_isolated (void)
 {
   uint32_t served = 0;
   uint32_t all = 0;
@@ -30,19 +32,21 @@
       w.busy_permille = seed % 3 == 0 ? 40 : 0;
       w.lost_permille = seed % 4 == 0 ? 30 : 0;
       line_world_mingle (&w, 25);
-      expect_sound (&w, seed);
+      expect_no_violations (&w, seed);
       served += w.served;
       all += w.served + w.not_run + w.in_doubt;
       line_world_finish (&w);
     }
   CU_ASSERT (all == INTERLEAVINGS * 6 * 25);
-  /* Most faults cost one statement, or the rest of a transaction. */
+  /* Most faults fail one statement, or the rest of a transaction. */
   CU_ASSERT (served * 10 >= all * 8);
 }
 
-/* A first statement whose answer is lost has run: the transaction is over. */
+/* The first statement of a transaction has run even if its answer is lost.  It
+ * is not repeated, and the transaction fails.
+ */
 static void
-first_statement_runs_once (void)
+first_statement_is_not_repeated (void)
 {
   LineWorld w;
 
@@ -55,13 +59,13 @@
   CU_ASSERT (line_world_ran (&w, line_world_last_label (&w, 2)) == 1);
   CU_ASSERT (line_world_say (&w, 2, "ROLLBACK"));
   CU_ASSERT (w.sessions[1].status == 'I');
-  expect_sound (&w, 1);
+  expect_no_violations (&w, 1);
   line_world_finish (&w);
 }
 
-/* A single read whose answer is lost is tried again. */
+/* A read outside a transaction whose answer is lost is retried. */
 static void
-lost_read_is_repeated (void)
+read_with_lost_answer_is_retried (void)
 {
   LineWorld w;
 
@@ -73,9 +77,9 @@
   line_world_finish (&w);
 }
 
-/* A write whose answer is lost is never sent again. */
+/* A write whose answer is lost is never retried. */
 static void
-lost_write_is_in_doubt (void)
+write_with_lost_answer_is_in_doubt (void)
 {
   LineWorld w;
 
@@ -87,9 +91,11 @@
   line_world_finish (&w);
 }
 
-/* A COMMIT of a transaction that only read keeps nothing. */
+/* A COMMIT with a lost answer is in doubt only if the transaction wrote; after
+ * reads alone it has no effect.
+ */
 static void
-lost_commit_of_reads_keeps_nothing (void)
+read_only_commit_is_never_in_doubt (void)
 {
   LineWorld w;
 
@@ -107,11 +113,11 @@
   line_world_finish (&w);
 }
 
-/* A target without room inside a transaction is asked again on the same
- * connection, and leaves none behind that is pinned to the session.
+/* A statement in a transaction that the target refuses as busy is retried on
+ * the same connection.  No other connection stays pinned to the session.
  */
 static void
-busy_transaction_keeps_its_connection (void)
+busy_statement_is_retried_on_its_connection (void)
 {
   LineWorld w;
 
@@ -125,11 +131,11 @@
       CU_ASSERT (line_world_say (&w, 2, "COMMIT"));
       CU_ASSERT (w.sessions[1].verdict == SS_VERDICT_RAN);
     }
-  expect_sound (&w, 5);
+  expect_no_violations (&w, 5);
   line_world_finish (&w);
 }
 
-/* Refused for good inside its transaction, a statement leaves no connection
+/* A statement in a transaction that is finally refused leaves no connection
  * pinned to its session.
  */
 static void
@@ -149,20 +155,20 @@
   CU_ASSERT (line_world_say (&w, 2, "READ 2b"));
   CU_ASSERT (line_world_say (&w, 2, "COMMIT"));
   CU_ASSERT (w.sessions[1].verdict == SS_VERDICT_RAN);
-  expect_sound (&w, 6);
+  expect_no_violations (&w, 6);
   line_world_finish (&w);
 }
 
-/* An old primary may hold more entries than the floor counts, of an earlier
- * term: it gets no read that needs the later one.
+/* A former primary may have entries of an earlier term at higher offsets than
+ * the floor.  It gets no read that needs the later term.
  */
 static void
-earlier_term_gets_no_read (void)
+server_of_earlier_term_gets_no_read (void)
 {
   LineWorld w;
 
   line_world_init (&w, 7, LINE_SESSIONS_MAX, 40);
-  /* t1 went on alone to 1.113; t2 leads term 2 and t3 follows it. */
+  /* t1 continued alone up to 1.113; t2 leads term 2 and t3 follows it. */
   w.servers[0].role = SS_SERVER_REPLICA;
   w.servers[0].received = (SsPosition){ 1, 113 };
   w.servers[0].applied = w.servers[0].received;
@@ -179,7 +185,7 @@
   line_world_advance (&w, 3000);
   for (uint32_t i = 2; i <= LINE_SESSIONS_MAX; i += 2)
     w.sessions[i - 1].committed = (SsPosition){ 2, 85 };
-  /* Enough at once for every target to be worth a try. */
+  /* Enough concurrent reads for every target to be considered. */
   for (uint32_t round = 0; round < 10; round++)
     {
       for (uint32_t i = 2; i <= LINE_SESSIONS_MAX; i += 2)
@@ -189,13 +195,13 @@
         CU_ASSERT (!w.sessions[i - 1].waits);
     }
   CU_ASSERT (w.served >= 10 * LINE_SESSIONS_MAX / 2 * 9 / 10);
-  expect_sound (&w, 7);
+  expect_no_violations (&w, 7);
   line_world_finish (&w);
 }
 
-/* While the lease holds, reads of the primary ask no target for its state. */
+/* While the lease is valid, reads of the primary send no status request. */
 static void
-lease_spares_status_asks (void)
+lease_avoids_status_requests (void)
 {
   LineWorld w;
   uint32_t before;
@@ -212,11 +218,12 @@
   line_world_finish (&w);
 }
 
-/* Without the platform the lease ends: each strict read is confirmed by a
- * majority of the servers, and a barred majority confirms none.
+/* Without the platform the lease expires.  A majority of the servers then
+ * confirms the primary for each strict read.  Servers that are barred from its
+ * term confirm nothing.
  */
 static void
-expired_lease_asks_the_servers (void)
+expired_lease_needs_a_majority (void)
 {
   LineWorld w;
   uint32_t before;
@@ -237,56 +244,58 @@
 }
 
 static void
-beat_of_peer (LineWorld *w, bool platform_up)
+receive_heartbeat (LineWorld *w, bool platform_up)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
-  Ss__Peer__Heartbeat beat = SS__PEER__HEARTBEAT__INIT;
-
-  beat.vm = (char *) "b";
-  beat.failure_domain = (char *) "e";
-  beat.ip = (char *) "10.0.0.2";
-  beat.peer_port = 1;
-  beat.platform_up = platform_up;
-  beat.ready = true;
+  Ss__Peer__Heartbeat heartbeat = SS__PEER__HEARTBEAT__INIT;
+
+  heartbeat.vm = (char *) "b";
+  heartbeat.failure_domain = (char *) "e";
+  heartbeat.ip = (char *) "10.0.0.2";
+  heartbeat.peer_port = 1;
+  heartbeat.platform_up = platform_up;
+  heartbeat.ready = true;
   e.body_case = SS__PEER__ENVELOPE__BODY_HEARTBEAT;
-  e.heartbeat = &beat;
+  e.heartbeat = &heartbeat;
   line_world_peer (w, &e);
 }
 
 static void
-reply_of_peer (LineWorld *w, int64_t version)
+receive_lease_reply (LineWorld *w, int64_t version)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__LeaseReply reply = SS__PEER__LEASE_REPLY__INIT;
   Ss__Peer__GroupVersion group = SS__PEER__GROUP_VERSION__INIT;
-  Ss__Peer__GroupVersion *list = &group;
+  Ss__Peer__GroupVersion *groups = &group;
 
   group.group = (char *) "g";
   group.version = version;
   reply.nonce = w->lease_nonce;
-  reply.groups = &list;
+  reply.groups = &groups;
   reply.n_groups = 1;
   e.body_case = SS__PEER__ENVELOPE__BODY_LEASE_REPLY;
   e.lease_reply = &reply;
   line_world_peer (w, &e);
 }
 
-/* Session 1 reads while vm "b" goes on saying that it has the platform. */
+/* Session 1 reads while heartbeats of VM "b" say that the platform answers it.
+ */
 static SsVerdict
-read_beside_peer (LineWorld *w)
+read_during_heartbeats (LineWorld *w)
 {
   line_world_start (w, 1, "READ 1a");
   for (uint32_t i = 0; i < 12; i++)
     {
-      beat_of_peer (w, true);
+      receive_heartbeat (w, true);
       line_world_advance (w, 100);
     }
   CU_ASSERT (!w->sessions[0].waits);
   return w->sessions[0].verdict;
 }
 
-/* Where another vm has the platform, that one is asked, and the servers alone
- * confirm nothing: a primary may have been changed behind a cut.
+/* Where the platform answers another VM, that VM is asked.  The servers alone
+ * confirm nothing then: beyond a network partition, a promotion may have taken
+ * place.
  */
 static void
 peer_confirms_the_lease (void)
@@ -299,24 +308,24 @@
   w.platform_down = true;
   for (uint32_t i = 0; i < 12; i++)
     {
-      beat_of_peer (&w, true);
+      receive_heartbeat (&w, true);
       line_world_advance (&w, 250);
     }
   CU_ASSERT (w.lease_nonce != 0);
-  CU_ASSERT (read_beside_peer (&w) == SS_VERDICT_NOT_RUN);
-  /* An answer about an earlier version confirms nothing either. */
-  reply_of_peer (&w, version - 1);
-  CU_ASSERT (read_beside_peer (&w) == SS_VERDICT_NOT_RUN);
+  CU_ASSERT (read_during_heartbeats (&w) == SS_VERDICT_NOT_RUN);
+  /* A reply for an earlier version confirms nothing either. */
+  receive_lease_reply (&w, version - 1);
+  CU_ASSERT (read_during_heartbeats (&w) == SS_VERDICT_NOT_RUN);
   line_world_advance (&w, 250);
-  beat_of_peer (&w, true);
-  reply_of_peer (&w, version);
-  CU_ASSERT (read_beside_peer (&w) == SS_VERDICT_RAN);
+  receive_heartbeat (&w, true);
+  receive_lease_reply (&w, version);
+  CU_ASSERT (read_during_heartbeats (&w) == SS_VERDICT_RAN);
   line_world_finish (&w);
 }
 
-/* A commit that no other server holds is not acknowledged. */
+/* A commit that is not replicated to a majority is not acknowledged. */
 static void
-unheld_commit_is_in_doubt (void)
+unreplicated_commit_is_in_doubt (void)
 {
   LineWorld w;
 
@@ -325,7 +334,7 @@
   w.servers[2].deaf = true;
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a x"));
   CU_ASSERT (w.sessions[0].verdict == SS_VERDICT_MAY_HAVE_RUN);
-  /* The next ones are refused before they are sent. */
+  /* Further writes are refused before they are sent. */
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a y"));
   CU_ASSERT (w.sessions[0].reason == SS_REASON_NO_MAJORITY);
   CU_ASSERT (line_world_ran (&w, line_world_last_label (&w, 1)) == 0);
@@ -333,7 +342,7 @@
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a z"));
   CU_ASSERT (line_world_say (&w, 1, "COMMIT"));
   CU_ASSERT (w.sessions[0].verdict == SS_VERDICT_NOT_RUN);
-  /* Once one hears again, writes go on by themselves. */
+  /* Writes resume once a replica receives entries again. */
   w.servers[1].deaf = false;
   line_world_advance (&w, 500);
   CU_ASSERT (line_world_say (&w, 1, "WRITE 1a x"));
@@ -341,9 +350,9 @@
   line_world_finish (&w);
 }
 
-/* Callers that come while the vm starts are served once it is ready. */
+/* Callers that connect while the VM starts are served once it is ready. */
 static void
-callers_wait_for_the_start (void)
+callers_wait_for_startup (void)
 {
   LineWorld w;
   SsEvent open = { .kind = SS_EVENT_CALLER_OPEN };
@@ -365,7 +374,7 @@
   line_world_advance (&w, 100);
   CU_ASSERT (!w.sessions[0].waits);
   CU_ASSERT (w.sessions[0].verdict == SS_VERDICT_RAN);
-  /* One that waits for too long is refused. */
+  /* A caller whose wait exceeds its deadline is refused. */
   w.node.ready = false;
   g_tree_remove_all (w.node.config.services);
   w.sessions[1].waits = true;
@@ -377,9 +386,11 @@
   line_world_finish (&w);
 }
 
-/* What is about the session alone, and what can't be. */
+/* The entry refuses invalid statements, and those that the session's state does
+ * not allow, without a target.
+ */
 static void
-sessions_are_kept_at_the_entry (void)
+entry_refuses_invalid_statements (void)
 {
   LineWorld w;
 
@@ -405,7 +416,7 @@
 }
 
 static void
-run_of_peer (LineWorld *w, uint64_t request, uint64_t transaction,
+receive_run (LineWorld *w, uint64_t request, uint64_t transaction,
              const char *text)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -429,9 +440,11 @@
   line_world_peer (w, &e);
 }
 
-/* Of the connections with an open transaction, how many wrote in it. */
+/* Returns how many connections have an open transaction that wrote.  Sets *OPEN
+ * to the number of all connections with an open transaction.
+ */
 static uint32_t
-count_wrote (LineWorld *w, uint32_t *open)
+count_transactions_with_writes (LineWorld *w, uint32_t *open)
 {
   GHashTableIter iter;
   gpointer value;
@@ -449,65 +462,69 @@
   return wrote;
 }
 
-/* A session's entry took its first transaction for lost, or the entry is a
- * new life of its vm: the second one is not mixed up with the first.
+/* The entry of a session may begin a second transaction because it considers
+ * the first one lost, or because it is a new incarnation of its VM.  Statements
+ * of one transaction never run in the other.
  */
 static void
-second_transaction_keeps_to_its_own (void)
+transactions_of_a_session_stay_separate (void)
 {
   LineWorld w;
   uint32_t open;
 
   line_world_init (&w, 31, 1, 8);
-  run_of_peer (&w, 100, 0, "READ 1a");
-  run_of_peer (&w, 200, 0, "READ 1a");
+  receive_run (&w, 100, 0, "READ 1a");
+  receive_run (&w, 200, 0, "READ 1a");
   line_world_advance (&w, 100);
-  CU_ASSERT (count_wrote (&w, &open) == 0);
+  CU_ASSERT (count_transactions_with_writes (&w, &open) == 0);
   CU_ASSERT (open == 2);
-  run_of_peer (&w, 201, 200, "WRITE 1a x");
+  receive_run (&w, 201, 200, "WRITE 1a x");
   line_world_advance (&w, 100);
-  run_of_peer (&w, 101, 100, "WRITE 1b y");
+  receive_run (&w, 101, 100, "WRITE 1b y");
   line_world_advance (&w, 100);
-  CU_ASSERT (count_wrote (&w, &open) == 2);
+  CU_ASSERT (count_transactions_with_writes (&w, &open) == 2);
   line_world_finish (&w);
 }
 
-/* A statement outside of a transaction tells that the one before it is lost. */
+/* A statement outside a transaction shows that the session's previous
+ * transaction is lost; the owner ends it.
+ */
 static void
-lost_transaction_ends_with_the_next_statement (void)
+lost_transaction_ends_with_next_statement (void)
 {
   LineWorld w;
   uint32_t open;
 
   line_world_init (&w, 32, 1, 8);
-  run_of_peer (&w, 100, 0, "WRITE 1a x");
+  receive_run (&w, 100, 0, "WRITE 1a x");
   line_world_advance (&w, 100);
-  run_of_peer (&w, 200, 0, "READ 1a");
+  receive_run (&w, 200, 0, "READ 1a");
   line_world_advance (&w, 100);
-  CU_ASSERT (count_wrote (&w, &open) == 0);
+  CU_ASSERT (count_transactions_with_writes (&w, &open) == 0);
   CU_ASSERT (open == 1);
   line_world_finish (&w);
 }
 
 CU_TestInfo test_line[] = {
-  { "interleavings keep sessions apart", interleavings_keep_sessions_apart },
-  { "first statement runs once", first_statement_runs_once },
-  { "lost read is repeated", lost_read_is_repeated },
-  { "lost write is in doubt", lost_write_is_in_doubt },
-  { "lost commit of reads keeps nothing", lost_commit_of_reads_keeps_nothing },
-  { "busy transaction keeps its connection",
-    busy_transaction_keeps_its_connection },
+  { "interleaved sessions stay isolated", interleaved_sessions_stay_isolated },
+  { "first statement is not repeated", first_statement_is_not_repeated },
+  { "read with lost answer is retried", read_with_lost_answer_is_retried },
+  { "write with lost answer is in doubt", write_with_lost_answer_is_in_doubt },
+  { "read-only commit is never in doubt", read_only_commit_is_never_in_doubt },
+  { "busy statement is retried on its connection",
+    busy_statement_is_retried_on_its_connection },
   { "refused transaction is rolled back", refused_transaction_is_rolled_back },
-  { "earlier term gets no read", earlier_term_gets_no_read },
-  { "lease spares status asks", lease_spares_status_asks },
-  { "expired lease asks the servers", expired_lease_asks_the_servers },
+  { "server of earlier term gets no read",
+    server_of_earlier_term_gets_no_read },
+  { "lease avoids status requests", lease_avoids_status_requests },
+  { "expired lease needs a majority", expired_lease_needs_a_majority },
   { "peer confirms the lease", peer_confirms_the_lease },
-  { "unheld commit is in doubt", unheld_commit_is_in_doubt },
-  { "callers wait for the start", callers_wait_for_the_start },
-  { "sessions are kept at the entry", sessions_are_kept_at_the_entry },
-  { "second transaction keeps to its own",
-    second_transaction_keeps_to_its_own },
-  { "lost transaction ends with the next statement",
-    lost_transaction_ends_with_the_next_statement },
+  { "unreplicated commit is in doubt", unreplicated_commit_is_in_doubt },
+  { "callers wait for startup", callers_wait_for_startup },
+  { "entry refuses invalid statements", entry_refuses_invalid_statements },
+  { "transactions of a session stay separate",
+    transactions_of_a_session_stay_separate },
+  { "lost transaction ends with next statement",
+    lost_transaction_ends_with_next_statement },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_members.c
+++ b/tests/test_members.c
@@ -1,3 +1,4 @@
+/* Cluster membership: liveness, roles, relays and watchers. */
 #include <string.h>
 
 #include "core/members.h"
@@ -9,7 +10,7 @@
 static SsMembers members;
 
 static void
-nothing (void *data, const SsMember *member)
+ignore_change (void *data, const SsMember *member)
 {
   (void) data;
   (void) member;
@@ -18,16 +19,17 @@
 static void
 update (int64_t now_ms)
 {
-  ss_members_update (&members, now_ms, nothing, NULL);
+  ss_members_update (&members, now_ms, ignore_change, NULL);
 }
 
 static void
-beat (const char *vm, int64_t now_ms, const char *heard)
+record_heartbeat (const char *vm, int64_t now_ms, const char *heard)
 {
   SsMember *m = ss_members_add (&members, vm, "d1", "10.0.0.9", 1);
-  char *list[] = { (char *) heard };
+  char *heard_list[] = { (char *) heard };
 
-  ss_members_record_heartbeat (&members, m, false, list, heard ? 1 : 0, now_ms);
+  ss_members_record_heartbeat (&members, m, false, heard_list, heard ? 1 : 0,
+                               now_ms);
 }
 
 static void
@@ -43,7 +45,7 @@
 }
 
 static void
-takes_no_role_before_its_heartbeat (void)
+vm_has_no_role_before_its_first_heartbeat (void)
 {
   begin ();
   ss_members_add (&members, "b", "d1", "10.0.0.2", 1)->listed = true;
@@ -51,40 +53,40 @@
   CU_ASSERT (!is_live ("b"));
   CU_ASSERT (!ss_members_is_converged (&members));
   CU_ASSERT_STRING_EQUAL (ss_members_owner (&members, "d1", "t"), "a");
-  beat ("b", START_MS + 10, NULL);
+  record_heartbeat ("b", START_MS + 10, NULL);
   update (START_MS + 10);
   CU_ASSERT (is_live ("b"));
   ss_members_finish (&members);
 }
 
 static void
-is_dead_only_where_others_miss_it_too (void)
+vm_is_dead_only_if_others_miss_it_too (void)
 {
   int64_t later_ms = START_MS + SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 100;
 
   begin ();
-  beat ("b", START_MS, NULL);
-  beat ("c", START_MS, "b");
-  beat ("d", START_MS, "b");
+  record_heartbeat ("b", START_MS, NULL);
+  record_heartbeat ("c", START_MS, "b");
+  record_heartbeat ("d", START_MS, "b");
   update (START_MS);
-  beat ("c", later_ms, "b");
-  beat ("d", later_ms, "b");
+  record_heartbeat ("c", later_ms, "b");
+  record_heartbeat ("d", later_ms, "b");
   update (later_ms);
   CU_ASSERT (is_live ("b"));
-  beat ("c", later_ms, NULL);
+  record_heartbeat ("c", later_ms, NULL);
   update (later_ms);
   CU_ASSERT (!is_live ("b"));
   ss_members_finish (&members);
 }
 
 static void
-gives_roles_to_one_vm_each (void)
+each_role_has_one_owner (void)
 {
   uint32_t owned_by_a = 0;
 
   begin ();
-  beat ("b", START_MS, NULL);
-  beat ("c", START_MS, NULL);
+  record_heartbeat ("b", START_MS, NULL);
+  record_heartbeat ("c", START_MS, NULL);
   update (START_MS);
   for (uint32_t i = 0; i < 300; i++)
     {
@@ -103,10 +105,10 @@
 }
 
 static void
-a_leaving_vm_gives_its_roles_up (void)
+vm_in_graceful_shutdown_has_no_roles (void)
 {
   begin ();
-  beat ("b", START_MS, NULL);
+  record_heartbeat ("b", START_MS, NULL);
   update (START_MS);
   ss_members_record_heartbeat (&members, ss_members_find (&members, "b"), true,
                                NULL, 0, START_MS);
@@ -121,10 +123,10 @@
 }
 
 static void
-forgets_who_is_neither_listed_nor_heard (void)
+silent_unlisted_vm_is_removed (void)
 {
   begin ();
-  beat ("b", START_MS, NULL);
+  record_heartbeat ("b", START_MS, NULL);
   update (START_MS);
   update (START_MS + SS_MEMBER_HEARTBEAT_TIMEOUT_MS);
   update (START_MS + SS_MEMBER_RETENTION_MS + 1);
@@ -132,9 +134,9 @@
   ss_members_finish (&members);
 }
 
-/* A vm that the platform lists may just not have been heard yet. */
+/* A VM that the platform has just listed may not have been heard yet. */
 static void
-listed_vm_is_not_dead_before_it_is_heard (void)
+new_vm_is_not_silent (void)
 {
   GPtrArray *silent = g_ptr_array_new ();
   SsMember *b;
@@ -150,7 +152,9 @@
   ss_members_finish (&members);
 }
 
-/* Reported vms live without heartbeats, and only as long as reports come. */
+/* A VM that relays report is live without heartbeats, until the reports time
+ * out.
+ */
 static void
 reports_keep_a_vm_alive (void)
 {
@@ -167,8 +171,8 @@
   ss_members_finish (&members);
 }
 
-/* Two vms of a failure domain watch: those that rank first among the ones
- * that the platform answers.
+/* Two VMs of a failure domain watch the platform: the first ones by rank among
+ * those that the platform answers.
  */
 static void
 watchers_are_vms_that_the_platform_answers (void)
@@ -179,7 +183,7 @@
   begin ();
   for (uint32_t i = 0; i < G_N_ELEMENTS (names); i++)
     {
-      beat (names[i], START_MS, NULL);
+      record_heartbeat (names[i], START_MS, NULL);
       ss_members_find (&members, names[i])->platform_up = true;
       if (ss_rank_score (names[i], "relay") > ss_rank_score ("a", "relay"))
         before++;
@@ -192,9 +196,11 @@
   ss_members_finish (&members);
 }
 
-/* Relays are two of the failure domain; one that leaves is replaced. */
+/* A failure domain has two relays.  One that begins its graceful shutdown is
+ * replaced.
+ */
 static void
-relays_are_two_of_the_failure_domain (void)
+relay_in_graceful_shutdown_is_replaced (void)
 {
   static const char *const names[] = { "b", "c", "d", "e" };
   GPtrArray *relays = g_ptr_array_new ();
@@ -202,7 +208,7 @@
 
   begin ();
   for (uint32_t i = 0; i < G_N_ELEMENTS (names); i++)
-    beat (names[i], START_MS, NULL);
+    record_heartbeat (names[i], START_MS, NULL);
   update (START_MS);
   ss_members_relays (&members, "d1", START_MS, relays);
   CU_ASSERT (relays->len == SS_MEMBERS_RELAYS);
@@ -220,19 +226,19 @@
 }
 
 CU_TestInfo test_members[] = {
-  { "takes no role before its heartbeat", takes_no_role_before_its_heartbeat },
-  { "is dead only where others miss it too",
-    is_dead_only_where_others_miss_it_too },
-  { "gives roles to one vm each", gives_roles_to_one_vm_each },
-  { "a leaving vm gives its roles up", a_leaving_vm_gives_its_roles_up },
-  { "forgets who is neither listed nor heard",
-    forgets_who_is_neither_listed_nor_heard },
-  { "listed vm is not dead before it is heard",
-    listed_vm_is_not_dead_before_it_is_heard },
+  { "vm has no role before its first heartbeat",
+    vm_has_no_role_before_its_first_heartbeat },
+  { "vm is dead only if others miss it too",
+    vm_is_dead_only_if_others_miss_it_too },
+  { "each role has one owner", each_role_has_one_owner },
+  { "vm in graceful shutdown has no roles",
+    vm_in_graceful_shutdown_has_no_roles },
+  { "silent unlisted vm is removed", silent_unlisted_vm_is_removed },
+  { "new vm is not silent", new_vm_is_not_silent },
   { "reports keep a vm alive", reports_keep_a_vm_alive },
   { "watchers are vms that the platform answers",
     watchers_are_vms_that_the_platform_answers },
-  { "relays are two of the failure domain",
-    relays_are_two_of_the_failure_domain },
+  { "relay in graceful shutdown is replaced",
+    relay_in_graceful_shutdown_is_replaced },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_pgwire.c
+++ b/tests/test_pgwire.c
@@ -1,3 +1,4 @@
+/* Parsing of PostgreSQL protocol messages. */
 #include <string.h>
 
 #include "plugins/pgwire.h"
@@ -8,7 +9,7 @@
 #define STREAM_BYTES 256
 
 static void
-reads_a_query_byte_by_byte (void)
+query_is_incomplete_up_to_its_last_byte (void)
 {
   static const uint8_t query[]
       = { 'Q', 0, 0, 0, 13, 'S', 'E', 'L', 'E', 'C', 'T', ' ', '1', 0 };
@@ -22,30 +23,32 @@
 }
 
 static void
-refuses_what_is_malformed (void)
+malformed_messages_are_refused (void)
 {
-  static const uint8_t no_end[] = { 'Q', 0, 0, 0, 6, 'a', 'b' };
-  static const uint8_t inner_end[] = { 'Q', 0, 0, 0, 7, 'a', 0, 0 };
+  static const uint8_t unterminated[] = { 'Q', 0, 0, 0, 6, 'a', 'b' };
+  static const uint8_t embedded_nul[] = { 'Q', 0, 0, 0, 7, 'a', 0, 0 };
   static const uint8_t short_length[] = { 'Q', 0, 0, 0, 3 };
-  static const uint8_t huge[] = { 'Q', 0x7f, 0, 0, 0 };
-  static const uint8_t old[] = { 0, 0, 0, 8, 0, 2, 0, 0 };
-  static const uint8_t large_start[] = { 0, 1, 0, 0, 0, 3, 0, 0 };
+  static const uint8_t huge_length[] = { 'Q', 0x7f, 0, 0, 0 };
+  static const uint8_t old_version[] = { 0, 0, 0, 8, 0, 2, 0, 0 };
+  static const uint8_t large_startup[] = { 0, 1, 0, 0, 0, 3, 0, 0 };
 
-  CU_ASSERT (ss_pgwire_read (no_end, sizeof no_end, false).kind
+  CU_ASSERT (ss_pgwire_read (unterminated, sizeof unterminated, false).kind
              == SS_PGWIRE_MALFORMED);
-  CU_ASSERT (ss_pgwire_read (inner_end, sizeof inner_end, false).kind
+  CU_ASSERT (ss_pgwire_read (embedded_nul, sizeof embedded_nul, false).kind
              == SS_PGWIRE_MALFORMED);
   CU_ASSERT (ss_pgwire_read (short_length, sizeof short_length, false).kind
              == SS_PGWIRE_MALFORMED);
-  CU_ASSERT (ss_pgwire_read (huge, sizeof huge, false).kind
+  CU_ASSERT (ss_pgwire_read (huge_length, sizeof huge_length, false).kind
              == SS_PGWIRE_TOO_LARGE);
-  CU_ASSERT (ss_pgwire_read (old, sizeof old, true).kind
+  CU_ASSERT (ss_pgwire_read (old_version, sizeof old_version, true).kind
              == SS_PGWIRE_BAD_VERSION);
-  CU_ASSERT (ss_pgwire_read (large_start, sizeof large_start, true).kind
+  CU_ASSERT (ss_pgwire_read (large_startup, sizeof large_startup, true).kind
              == SS_PGWIRE_TOO_LARGE);
 }
 
-/* Whatever comes, a message lies within its input and takes some of it. */
+/* Checks that each message lies within its input, until the parser consumes
+ * nothing more.
+ */
 static void
 check_stream (const uint8_t *data, uint32_t bytes, bool in_startup)
 {
@@ -68,7 +71,7 @@
 }
 
 static void
-stands_random_bytes (void)
+random_bytes_are_parsed_safely (void)
 {
   GRand *rand = g_rand_new_with_seed (SEED);
   static const char types[] = "QXSHPBDECFdcf";
@@ -80,7 +83,7 @@
 
       for (uint32_t j = 0; j < bytes; j++)
         data[j] = (uint8_t) g_rand_int_range (rand, 0, 256);
-      /* Half of them begin as real messages do. */
+      /* Half of the streams begin like valid messages. */
       if (i % 2 && bytes > 8)
         {
           data[0] = (uint8_t) types[i % (sizeof types - 1)];
@@ -96,25 +99,28 @@
 }
 
 static void
-found_option (void *data, const char *name, const char *value)
+append_option (void *data, const char *name, const char *value)
 {
   g_string_append_printf (data, "%s=%s;", name, value);
 }
 
 static void
-finds_options (void)
+options_are_parsed (void)
 {
   GString *found = g_string_new (NULL);
 
-  ss_pgwire_parse_options ("-c a.b=1 -cc=2 --d=3 junk -c", found_option, found);
+  ss_pgwire_parse_options ("-c a.b=1 -cc=2 --d=3 junk -c", append_option,
+                           found);
   CU_ASSERT_STRING_EQUAL (found->str, "a.b=1;c=2;d=3;");
   g_string_free (found, TRUE);
 }
 
 CU_TestInfo test_pgwire[] = {
-  { "reads a query byte by byte", reads_a_query_byte_by_byte },
-  { "refuses what is malformed", refuses_what_is_malformed },
-  { "stands random bytes (seed 20261203)", stands_random_bytes },
-  { "finds options", finds_options },
+  { "query is incomplete up to its last byte",
+    query_is_incomplete_up_to_its_last_byte },
+  { "malformed messages are refused", malformed_messages_are_refused },
+  { "random bytes are parsed safely (seed 20261203)",
+    random_bytes_are_parsed_safely },
+  { "options are parsed", options_are_parsed },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,4 +1,6 @@
-/* The platform's formats: lines, statements, error codes, records. */
+/* Formats of the platform: line protocol messages, statements, error codes and
+ * records.
+ */
 #include <glib.h>
 #include <string.h>
 
@@ -18,7 +20,7 @@
 }
 
 static void
-lines_are_read (void)
+lines_are_parsed (void)
 {
   uint8_t buffer[256];
   SsLine line;
@@ -28,7 +30,7 @@
              == SS_LINE_WHOLE);
   CU_ASSERT (line.type == SS_LINE_QUERY && line.used_bytes == 19);
   CU_ASSERT_STRING_EQUAL (ss_line_next_field (&line.rest), "a1");
-  /* What follows is passed on as it is, blanks too. */
+  /* The rest is passed on unchanged, spaces included. */
   CU_ASSERT_STRING_EQUAL (line.rest, " READ 1a");
   CU_ASSERT (read_text (&line, "\r\n", buffer) == SS_LINE_WHOLE);
   CU_ASSERT (line.type == SS_LINE_UNKNOWN);
@@ -36,9 +38,11 @@
   CU_ASSERT (line.type == SS_LINE_UNKNOWN);
 }
 
-/* A zero byte would hide what follows it from us, but not from a target. */
+/* A NUL byte would hide the text after it from the proxy, but not from a
+ * target.
+ */
 static void
-zero_bytes_are_refused (void)
+nul_bytes_are_refused (void)
 {
   uint8_t buffer[] = "QUERY a1 READ 1a?WRITE\r\n";
   SsLine line;
@@ -49,7 +53,7 @@
 }
 
 static void
-positions_are_read (void)
+positions_are_parsed (void)
 {
   SsPosition p = ss_line_parse_position ("3.1207");
 
@@ -91,9 +95,11 @@
   { "", SS_STATEMENT_INVALID, false, NULL, NULL },
 };
 
-/* What only we may say to a target is no statement of a caller. */
+/* Statements that only the proxy may send to a target are invalid from a
+ * caller.
+ */
 static void
-statements_are_told_apart (void)
+statements_are_classified (void)
 {
   const SsDialect *d = ss_dialect_line ();
 
@@ -115,7 +121,7 @@
 }
 
 static void
-status_rows_are_read (void)
+status_rows_are_parsed (void)
 {
   const SsDialect *d = ss_dialect_line ();
   const char *row[]
@@ -135,11 +141,13 @@
   CU_ASSERT (!d->read_status (d, NULL, 0, &s));
 }
 
-/* A promise is only made of what was not run. */
+/* Codes that promise that a statement did not run are never used for one that
+ * may have run.
+ */
 static void
-promises_need_proof (void)
+statement_in_doubt_gets_no_not_run_code (void)
 {
-  static const char *const promises[]
+  static const char *const not_run_codes[]
       = { "BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "CONNLIMIT" };
 
   for (int reason = SS_REASON_NONE; reason <= SS_REASON_TOO_LARGE; reason++)
@@ -147,8 +155,8 @@
       const char *code
           = ss_error_code (SS_VERDICT_MAY_HAVE_RUN, (SsReason) reason);
 
-      for (size_t i = 0; i < G_N_ELEMENTS (promises); i++)
-        CU_ASSERT (strcmp (code, promises[i]) != 0);
+      for (size_t i = 0; i < G_N_ELEMENTS (not_run_codes); i++)
+        CU_ASSERT (strcmp (code, not_run_codes[i]) != 0);
     }
   CU_ASSERT (ss_error_fault ("BUSY") == SS_TARGET_FAULT_BUSY);
   CU_ASSERT (ss_error_fault ("FAILED") == SS_TARGET_FAULT_STATEMENT);
@@ -178,7 +186,7 @@
 }
 
 static void
-records_are_translated (void)
+records_are_converted (void)
 {
   expect_record (
       "servers",
@@ -199,7 +207,8 @@
 }
 
 #define META "{\"meta\":{\"name\":\"i\",\"revision\":1}"
-#define PLACE "\"service\":\"s\",\"address\":\"10.0.0.1:1\",\"zone\":\"z\","
+#define LOCATION_FIELDS                                                        \
+  "\"service\":\"s\",\"address\":\"10.0.0.1:1\",\"zone\":\"z\","
 
 static const char *const bad_servers[] = {
   "{}",
@@ -208,8 +217,8 @@
   META ",\"spec\":{\"service\":1}}",
   META ",\"spec\":{\"service\":\"s\",\"address\":\"nowhere\",\"zone\":\"z\","
        "\"state\":\"ready\"}}",
-  META ",\"spec\":{" PLACE "\"state\":\"asleep\"}}",
-  META ",\"spec\":{" PLACE "\"state\":\"ready\",\"slots\":\"many\"}}",
+  META ",\"spec\":{" LOCATION_FIELDS "\"state\":\"asleep\"}}",
+  META ",\"spec\":{" LOCATION_FIELDS "\"state\":\"ready\",\"slots\":\"many\"}}",
 };
 
 static void
@@ -226,9 +235,10 @@
     }
 }
 
-/* Whatever a stranger sends is read without harm, and as at most one line. */
+/* Arbitrary input is parsed without memory errors, and a line ends within it.
+ */
 static void
-random_bytes_do_no_harm (void)
+random_bytes_are_parsed_safely (void)
 {
   static const char alphabet[] = "QUERYADCLOSTB 019.-\r\n\0x";
   const SsDialect *d = ss_dialect_line ();
@@ -257,14 +267,15 @@
 }
 
 CU_TestInfo test_platform[] = {
-  { "lines are read", lines_are_read },
-  { "zero bytes are refused", zero_bytes_are_refused },
-  { "positions are read", positions_are_read },
-  { "statements are told apart", statements_are_told_apart },
-  { "status rows are read", status_rows_are_read },
-  { "promises need proof", promises_need_proof },
-  { "records are translated", records_are_translated },
+  { "lines are parsed", lines_are_parsed },
+  { "nul bytes are refused", nul_bytes_are_refused },
+  { "positions are parsed", positions_are_parsed },
+  { "statements are classified", statements_are_classified },
+  { "status rows are parsed", status_rows_are_parsed },
+  { "statement in doubt gets no not-run code",
+    statement_in_doubt_gets_no_not_run_code },
+  { "records are converted", records_are_converted },
   { "malformed records are refused", malformed_records_are_refused },
-  { "random bytes do no harm", random_bytes_do_no_harm },
+  { "random bytes are parsed safely", random_bytes_are_parsed_safely },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_position.c
+++ b/tests/test_position.c
@@ -1,3 +1,4 @@
+/* Log positions, and the floors of known writers. */
 #include "core/position.h"
 #include "core/writers.h"
 #include "tests/unit.h"
@@ -27,7 +28,7 @@
 }
 
 static void
-translates_over_a_lost_tail (void)
+position_in_discarded_tail_is_translated (void)
 {
   SsHistory h;
   SsPosition p;
@@ -42,7 +43,7 @@
 }
 
 static void
-refuses_malformed_text (void)
+malformed_text_is_refused (void)
 {
   SsPosition p;
   SsHistory h;
@@ -58,7 +59,7 @@
 }
 
 static void
-keeps_the_latest_terms (void)
+history_keeps_the_latest_terms (void)
 {
   SsHistory h;
 
@@ -77,7 +78,7 @@
 }
 
 static void
-known_writers_have_low_floors (void)
+floor_of_known_writer_is_its_last_write (void)
 {
   SsWriters w;
 
@@ -87,7 +88,7 @@
   ss_writers_committed (&w, "b", at (1, 11));
   CU_ASSERT (floor_offset (&w, "a", 11) == 10);
   CU_ASSERT (floor_offset (&w, "c", 11) == 9);
-  /* Entry 12 is not known: its writer may be anybody. */
+  /* The writer of entry 12 is unknown: it may be any caller. */
   ss_writers_committed (&w, "b", at (1, 13));
   CU_ASSERT (floor_offset (&w, "a", 13) == 13);
   ss_writers_committed (&w, "a", at (1, 12));
@@ -97,7 +98,7 @@
 }
 
 static void
-a_gap_or_a_term_starts_anew (void)
+gap_or_new_term_discards_writers (void)
 {
   SsWriters w;
 
@@ -116,10 +117,12 @@
 CU_TestInfo test_position[] = {
   { "compares by term, then offset", compares_by_term_then_offset },
   { "covers needs term and offset", covers_needs_term_and_offset },
-  { "translates over a lost tail", translates_over_a_lost_tail },
-  { "refuses malformed text", refuses_malformed_text },
-  { "keeps the latest terms", keeps_the_latest_terms },
-  { "known writers have low floors", known_writers_have_low_floors },
-  { "a gap or a term starts anew", a_gap_or_a_term_starts_anew },
+  { "position in discarded tail is translated",
+    position_in_discarded_tail_is_translated },
+  { "malformed text is refused", malformed_text_is_refused },
+  { "history keeps the latest terms", history_keeps_the_latest_terms },
+  { "floor of known writer is its last write",
+    floor_of_known_writer_is_its_last_write },
+  { "gap or new term discards writers", gap_or_new_term_discards_writers },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -1,3 +1,4 @@
+/* Admission control, scheduling and the retry budget. */
 #include "core/retry_budget.h"
 #include "core/queue.h"
 #include "tests/unit.h"
@@ -5,7 +6,7 @@
 #define ITEMS 40
 
 static SsQueueItem
-item_of (SsQueueClass queue_class, int64_t deadline_ms)
+make_item (SsQueueClass queue_class, int64_t deadline_ms)
 {
   SsQueueItem item = { .queue_class = queue_class, .deadline_ms = deadline_ms };
 
@@ -13,18 +14,18 @@
 }
 
 static void
-shares_by_weight (void)
+services_share_by_weight (void)
 {
   SsQueue q;
   SsQueueItem light[ITEMS];
   SsQueueItem heavy[ITEMS];
-  uint32_t heavy_first = 0;
+  uint32_t heavy_count = 0;
 
   ss_queue_init (&q);
   for (uint32_t i = 0; i < ITEMS; i++)
     {
-      light[i] = item_of (SS_QUEUE_WRITE, 1000);
-      heavy[i] = item_of (SS_QUEUE_WRITE, 1000);
+      light[i] = make_item (SS_QUEUE_WRITE, 1000);
+      heavy[i] = make_item (SS_QUEUE_WRITE, 1000);
       ss_queue_push (&q, &light[i], "light", 1);
       ss_queue_push (&q, &heavy[i], "heavy", 3);
     }
@@ -33,24 +34,24 @@
       SsQueueItem *item = ss_queue_pop (&q, 100);
 
       if (item >= heavy && item < heavy + ITEMS)
-        heavy_first++;
+        heavy_count++;
     }
-  CU_ASSERT (heavy_first >= 14 && heavy_first <= 16);
+  CU_ASSERT (heavy_count >= 14 && heavy_count <= 16);
   ss_queue_finish (&q);
 }
 
 static void
-reads_leave_a_share_to_writes (void)
+reads_leave_connections_to_writes (void)
 {
   SsQueue q;
   SsQueueItem reads[ITEMS];
-  SsQueueItem write = item_of (SS_QUEUE_WRITE, 1000);
+  SsQueueItem write = make_item (SS_QUEUE_WRITE, 1000);
   uint32_t running = 0;
 
   ss_queue_init (&q);
   for (uint32_t i = 0; i < ITEMS; i++)
     {
-      reads[i] = item_of (SS_QUEUE_READ, 1000);
+      reads[i] = make_item (SS_QUEUE_READ, 1000);
       ss_queue_push (&q, &reads[i], "s", 1);
     }
   while (ss_queue_pop (&q, 8))
@@ -62,36 +63,36 @@
 }
 
 static void
-refuses_what_would_miss_its_deadline (void)
+statement_that_would_miss_its_deadline_is_refused (void)
 {
   SsQueue q;
   SsQueueItem waiting[ITEMS];
-  SsQueueItem late = item_of (SS_QUEUE_WRITE, 100);
-  SsQueueItem early = item_of (SS_QUEUE_WRITE, 10000);
+  SsQueueItem short_deadline = make_item (SS_QUEUE_WRITE, 100);
+  SsQueueItem long_deadline = make_item (SS_QUEUE_WRITE, 10000);
   uint32_t retry_after_ms = 0;
 
   ss_queue_init (&q);
   q.mean_run_ms = 20;
-  CU_ASSERT (ss_queue_admit (&q, &late, 2, 0, 0.5, &retry_after_ms));
+  CU_ASSERT (ss_queue_admit (&q, &short_deadline, 2, 0, 0.5, &retry_after_ms));
   for (uint32_t i = 0; i < ITEMS; i++)
     {
-      waiting[i] = item_of (SS_QUEUE_WRITE, 10000);
+      waiting[i] = make_item (SS_QUEUE_WRITE, 10000);
       ss_queue_push (&q, &waiting[i], "s", 1);
     }
-  CU_ASSERT (!ss_queue_admit (&q, &late, 2, 0, 0.5, &retry_after_ms));
+  CU_ASSERT (!ss_queue_admit (&q, &short_deadline, 2, 0, 0.5, &retry_after_ms));
   CU_ASSERT (retry_after_ms > 100);
-  CU_ASSERT (ss_queue_admit (&q, &early, 2, 0, 0.5, &retry_after_ms));
+  CU_ASSERT (ss_queue_admit (&q, &long_deadline, 2, 0, 0.5, &retry_after_ms));
   q.mean_run_ms = 100;
-  CU_ASSERT (!ss_queue_admit (&q, &early, 2, 0, 0.5, &retry_after_ms));
+  CU_ASSERT (!ss_queue_admit (&q, &long_deadline, 2, 0, 0.5, &retry_after_ms));
   ss_queue_finish (&q);
 }
 
 static void
-finds_the_expired (void)
+expired_item_is_found (void)
 {
   SsQueue q;
-  SsQueueItem a = item_of (SS_QUEUE_READ, 50);
-  SsQueueItem b = item_of (SS_QUEUE_READ, 500);
+  SsQueueItem a = make_item (SS_QUEUE_READ, 50);
+  SsQueueItem b = make_item (SS_QUEUE_READ, 500);
 
   ss_queue_init (&q);
   ss_queue_push (&q, &b, "s", 1);
@@ -105,7 +106,7 @@
 }
 
 static void
-retries_are_a_share_of_first_tries (void)
+retries_are_a_tenth_of_first_tries (void)
 {
   SsRetryBudget b;
   uint32_t retries = 0;
@@ -122,11 +123,11 @@
 }
 
 CU_TestInfo test_queue[] = {
-  { "shares by weight", shares_by_weight },
-  { "reads leave a share to writes", reads_leave_a_share_to_writes },
-  { "refuses what would miss its deadline",
-    refuses_what_would_miss_its_deadline },
-  { "finds the expired", finds_the_expired },
-  { "retries are a share of first tries", retries_are_a_share_of_first_tries },
+  { "services share by weight", services_share_by_weight },
+  { "reads leave connections to writes", reads_leave_connections_to_writes },
+  { "statement that would miss its deadline is refused",
+    statement_that_would_miss_its_deadline_is_refused },
+  { "expired item is found", expired_item_is_found },
+  { "retries are a tenth of first tries", retries_are_a_tenth_of_first_tries },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -1,4 +1,5 @@
-/* Many vms in two failure domains, without a network: who each takes for live.
+/* Hierarchical failure detection: many VMs in two failure domains, whose cores
+ * exchange messages directly, without a network.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -18,13 +19,13 @@
   SsNode node;
   char name[16];
   bool up;
-  bool cut; /* reaches only others that are cut */
+  bool partitioned; /* reaches only other partitioned VMs */
 } Vm;
 
 static Vm vms[VMS];
 static int64_t now_ms;
-static uint64_t sent;       /* messages */
-static uint64_t sent_apart; /* of them between failure domains */
+static uint64_t sent;                 /* messages */
+static uint64_t sent_between_domains; /* messages between failure domains */
 
 static Vm *
 find_vm (const char *name)
@@ -61,10 +62,10 @@
   params.watches = 1U << SS_WATCH_VMS;
   ss_node_init (&vms[i].node, &params, now_ms);
   vms[i].up = true;
-  vms[i].cut = false;
+  vms[i].partitioned = false;
 }
 
-/* Tells vm I of all vms, as the platform's list does. */
+/* Delivers the platform's list of all VMs to VM I. */
 static void
 list_vms (uint32_t i)
 {
@@ -111,8 +112,8 @@
   sent++;
   if (strcmp (from->node.params.failure_domain, to->node.params.failure_domain)
       != 0)
-    sent_apart++;
-  if (!to->up || to->cut != from->cut)
+    sent_between_domains++;
+  if (!to->up || to->partitioned != from->partitioned)
     return;
   e.peer_message.data = g_bytes_get_data (a->bytes, &bytes);
   e.peer_message.data_bytes = (uint32_t) bytes;
@@ -160,7 +161,7 @@
     ss_node_finish (&vms[i].node);
 }
 
-/* Of all vms that are up, how many VM takes for live. */
+/* Returns how many VMs VM considers live, itself included. */
 static uint32_t
 count_live (const Vm *vm)
 {
@@ -176,24 +177,24 @@
 }
 
 static void
-expect_live (uint32_t wanted)
+expect_live (uint32_t expected)
 {
   for (uint32_t i = 0; i < VMS; i++)
     if (vms[i].up)
-      CU_ASSERT (count_live (&vms[i]) == wanted);
+      CU_ASSERT (count_live (&vms[i]) == expected);
 }
 
 static void
-all_know_all (void)
+all_vms_see_each_other_live (void)
 {
   begin ();
   expect_live (VMS);
   end ();
 }
 
-/* A vm that is gone is missed everywhere, also where it was a relay. */
+/* Every VM detects that a VM has crashed, even if that was a relay. */
 static void
-gone_vms_are_missed_everywhere (void)
+crashed_vms_are_detected_everywhere (void)
 {
   GPtrArray *relays = g_ptr_array_new ();
 
@@ -209,26 +210,30 @@
   end ();
 }
 
-/* What goes between failure domains does not grow with their vms. */
+/* The number of messages between failure domains does not grow with the number
+ * of their VMs.
+ */
 static void
-messages_stay_few (void)
+number_of_messages_is_bounded (void)
 {
-  uint64_t beats;
+  uint64_t heartbeats;
 
   begin ();
   sent = 0;
-  sent_apart = 0;
+  sent_between_domains = 0;
   advance (10000);
-  beats = 10000 / vms[0].node.params.timing.heartbeat_ms + 1;
-  CU_ASSERT (sent_apart <= beats * 2 * SS_MEMBERS_RELAYS * SS_MEMBERS_RELAYS);
+  heartbeats = 10000 / vms[0].node.params.timing.heartbeat_ms + 1;
+  CU_ASSERT (sent_between_domains
+             <= heartbeats * 2 * SS_MEMBERS_RELAYS * SS_MEMBERS_RELAYS);
   /* A heartbeat and a digest for each vm and relay, and the reports. */
-  CU_ASSERT (sent - sent_apart <= beats * 2 * VMS * SS_MEMBERS_RELAYS);
+  CU_ASSERT (sent - sent_between_domains
+             <= heartbeats * 2 * VMS * SS_MEMBERS_RELAYS);
   end ();
 }
 
-/* Ends the relays of the first failure domain, without a farewell. */
+/* Stops the relays of the first failure domain without a graceful shutdown. */
 static void
-silence_relays (void)
+crash_relays (void)
 {
   GPtrArray *relays = g_ptr_array_new ();
 
@@ -238,9 +243,9 @@
   g_ptr_array_free (relays, TRUE);
 }
 
-/* Of VM's failure domain, how many it takes for live. */
+/* Returns how many VMs of its own failure domain VM considers live. */
 static uint32_t
-count_own_live (const Vm *vm)
+count_live_in_own_domain (const Vm *vm)
 {
   uint32_t live = 0;
 
@@ -256,17 +261,18 @@
   return live;
 }
 
-/* While no relay answers, a vm neither takes its neighbours for lost nor
- * itself for the only one left.
+/* Guards against VMs that misread the loss of all relays.  While no relay
+ * answers, a VM considers no other VM of its failure domain dead, and does not
+ * make itself coordinator because it knows of too few live VMs.
  */
 static void
-lost_relays_lose_nobody_else (void)
+loss_of_relays_marks_no_other_vm_dead (void)
 {
   uint32_t missed = 0;
   uint32_t coordinators = 0;
 
   begin ();
-  silence_relays ();
+  crash_relays ();
   for (int64_t at = 0; at < SETTLE_MS; at += STEP_MS)
     {
       advance (STEP_MS);
@@ -274,7 +280,7 @@
         {
           if (!vms[i].up)
             continue;
-          if (count_own_live (&vms[i]) < VMS / 2 - SS_MEMBERS_RELAYS)
+          if (count_live_in_own_domain (&vms[i]) < VMS / 2 - SS_MEMBERS_RELAYS)
             missed++;
           if (ss_coordinator_is_self (&vms[i].node)
               && count_live (&vms[i]) < VMS - SS_MEMBERS_RELAYS)
@@ -296,9 +302,11 @@
   return x < y ? -1 : x > y;
 }
 
-/* Cuts the COUNT vms of the first failure domain that are the last to relay. */
+/* Partitions off the COUNT VMs of the first failure domain that rank last as
+ * relays.
+ */
 static void
-cut_last_ranked (uint32_t count)
+partition_last_ranked (uint32_t count)
 {
   Vm *by_rank[VMS / 2];
 
@@ -306,12 +314,12 @@
     by_rank[i] = &vms[i];
   qsort (by_rank, VMS / 2, sizeof *by_rank, compare_rank);
   for (uint32_t i = 0; i < count; i++)
-    by_rank[i]->cut = true;
+    by_rank[i]->partitioned = true;
 }
 
-/* How many of those that are cut, as VM is, it takes for lost. */
+/* Returns how many partitioned VMs VM, one of them, considers dead. */
 static uint32_t
-count_cut_missed (const Vm *vm)
+count_partitioned_missed (const Vm *vm)
 {
   uint32_t missed = 0;
 
@@ -319,47 +327,49 @@
     {
       const SsMember *m = ss_members_find (&vm->node.members, vms[i].name);
 
-      if (vms[i].cut)
+      if (vms[i].partitioned)
         missed += m && m->live ? 0 : 1;
     }
   return missed;
 }
 
-/* A failure domain that is cut in two: on the side without relays the vms that
- * would relay next are on the other one, too.
+/* A network partition splits a failure domain.  On the side without relays, the
+ * VMs that rank next as relays are unreachable as well.  The VMs there must
+ * still see each other live.
  */
 static void
-side_without_relays_stays_together (void)
+partition_without_relays_keeps_its_vms (void)
 {
   uint32_t missed = 0;
 
   begin ();
-  cut_last_ranked (5);
+  partition_last_ranked (5);
   for (int64_t at = 0; at < SETTLE_MS; at += STEP_MS)
     {
       advance (STEP_MS);
       for (uint32_t i = 0; i < VMS / 2; i++)
-        if (vms[i].cut)
-          missed += count_cut_missed (&vms[i]);
+        if (vms[i].partitioned)
+          missed += count_partitioned_missed (&vms[i]);
     }
   CU_ASSERT (missed == 0);
   end ();
 }
 
-/* New relays hear of the other failure domains without waiting for a report
- * that comes by the clock.
+/* New relays learn the VMs of other failure domains without waiting for a
+ * periodic report.
  */
 static void
-new_relays_know_all_soon (void)
+new_relays_learn_all_vms_quickly (void)
 {
   int64_t since_ms;
   int64_t bound_ms;
 
   begin ();
-  silence_relays ();
+  crash_relays ();
   since_ms = now_ms;
-  /* The old relays' silence, then a beat each: to the new relays, of these to
-   * the other failure domain, back from there, and to all.
+  /* The timeout of the old relays, then one heartbeat interval for each step:
+   * to the new relays, from these to the other failure domain, back from there,
+   * and to all VMs.
    */
   bound_ms = SS_MEMBER_REPORT_TIMEOUT_MS
              + 4 * vms[0].node.params.timing.heartbeat_ms + 100;
@@ -369,39 +379,43 @@
   end ();
 }
 
-/* A vm that falls silent is missed by its relays, and then by all that these
- * tell: nobody adds a silence of its own to theirs.
+/* The relays detect a silent VM after one timeout and report it to all others,
+ * which add no timeout of their own.
  */
 static void
-silent_vm_is_missed_by_all_soon (void)
+silent_vm_is_detected_after_one_timeout (void)
 {
   GPtrArray *relays = g_ptr_array_new ();
-  int64_t beat_ms;
+  int64_t interval_ms;
   uint32_t silent = 0;
 
   begin ();
-  beat_ms = vms[0].node.params.timing.heartbeat_ms;
+  interval_ms = vms[0].node.params.timing.heartbeat_ms;
   ss_members_relays (&vms[0].node.members, "d1", now_ms, relays);
   while (g_ptr_array_find_with_equal_func (relays, vms[silent].name,
                                            g_str_equal, NULL))
     silent++;
   g_ptr_array_free (relays, TRUE);
   vms[silent].up = false;
-  /* The silence, then a beat each: to the neighbours, to the relays of the
-   * other failure domain, and to the vms there.
+  /* The timeout, then one heartbeat interval for each step: to the VMs of its
+   * failure domain, to the relays of the other one, and to the VMs there.
    */
-  advance (SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 3 * beat_ms + 100);
+  advance (SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 3 * interval_ms + 100);
   expect_live (VMS - 1);
   end ();
 }
 
 CU_TestInfo test_relay[] = {
-  { "all know all", all_know_all },
-  { "gone vms are missed everywhere", gone_vms_are_missed_everywhere },
-  { "messages stay few", messages_stay_few },
-  { "lost relays lose nobody else", lost_relays_lose_nobody_else },
-  { "side without relays stays together", side_without_relays_stays_together },
-  { "new relays know all soon", new_relays_know_all_soon },
-  { "silent vm is missed by all soon", silent_vm_is_missed_by_all_soon },
+  { "all vms see each other live", all_vms_see_each_other_live },
+  { "crashed vms are detected everywhere",
+    crashed_vms_are_detected_everywhere },
+  { "number of messages is bounded", number_of_messages_is_bounded },
+  { "loss of relays marks no other vm dead",
+    loss_of_relays_marks_no_other_vm_dead },
+  { "partition without relays keeps its vms",
+    partition_without_relays_keeps_its_vms },
+  { "new relays learn all vms quickly", new_relays_learn_all_vms_quickly },
+  { "silent vm is detected after one timeout",
+    silent_vm_is_detected_after_one_timeout },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -1,4 +1,4 @@
-/* Sessions of one core, event by event. */
+/* Sessions of a single core that is driven event by event. */
 #include <string.h>
 
 #include "core/internal.h"
@@ -40,9 +40,11 @@
   node.ready = true;
 }
 
-/* The last reply to the caller; the others are dropped. */
+/* Takes all pending actions.  Returns the last reply to the caller in *REPLY
+ * and drops the others.
+ */
 static bool
-last_reply (SsAction *reply)
+take_last_reply (SsAction *reply)
 {
   SsAction a;
   bool found = false;
@@ -71,18 +73,18 @@
   e.caller_open.service = service;
   e.caller_open.settings = settings;
   ss_node_on_event (&node, &e, NOW_MS);
-  CU_ASSERT (last_reply (reply));
+  CU_ASSERT (take_last_reply (reply));
 }
 
 static void
-say (const char *sql, SsAction *reply)
+run_statement (const char *sql, SsAction *reply)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_STATEMENT };
 
   e.caller_statement.caller = 1;
   e.caller_statement.sql = sql;
   ss_node_on_event (&node, &e, NOW_MS);
-  CU_ASSERT (last_reply (reply));
+  CU_ASSERT (take_last_reply (reply));
 }
 
 static void
@@ -91,7 +93,7 @@
 {
   SsAction reply;
 
-  say (sql, &reply);
+  run_statement (sql, &reply);
   CU_ASSERT (reply.verdict == verdict);
   CU_ASSERT (reply.reason == reason);
   if (text)
@@ -100,7 +102,7 @@
 }
 
 static void
-knows_its_settings (void)
+proxy_settings_are_set_and_shown (void)
 {
   SsAction reply;
 
@@ -131,7 +133,7 @@
 }
 
 static void
-refuses_what_it_can_not_serve_at_once (void)
+what_cannot_be_served_is_refused_at_once (void)
 {
   SsAction reply;
   const char *settings[] = { "token", "x", NULL };
@@ -151,9 +153,11 @@
   ss_node_finish (&node);
 }
 
-/* Found by seed 189: a refused write left its id to the next statement. */
+/* Guards against a refused write whose idempotency key stays set and so applies
+ * to the next statement.  Found by seed 189.
+ */
 static void
-a_refused_statement_takes_its_id_along (void)
+refused_statement_clears_its_idempotency_key (void)
 {
   SsAction reply;
   const SsSession *s;
@@ -173,7 +177,7 @@
   ss_node_finish (&node);
 }
 
-/* A session in a transaction whose owner is lost. */
+/* Opens a session with a transaction whose owner is lost. */
 static const SsSession *
 begin_lost_transaction (void)
 {
@@ -195,7 +199,7 @@
 }
 
 static void
-a_lost_transaction_takes_no_more_statements (void)
+lost_transaction_refuses_statements (void)
 {
   const SsSession *s = begin_lost_transaction ();
 
@@ -206,11 +210,12 @@
   ss_node_finish (&node);
 }
 
-/* Found by seed 327: the transaction was lost while its caller knew nothing,
- * and its COMMIT was answered without an error.
+/* Guards against a COMMIT that succeeds although the transaction is lost.  The
+ * caller had sent no statement since the loss and had seen no error.  Found by
+ * seed 327.
  */
 static void
-a_commit_tells_of_a_loss_untold (void)
+commit_reports_an_unreported_loss (void)
 {
   const SsSession *s = begin_lost_transaction ();
 
@@ -220,18 +225,19 @@
 }
 
 static void
-pass (int64_t now_ms)
+send_tick (int64_t now_ms)
 {
   SsEvent tick = { .kind = SS_EVENT_TICK };
 
   ss_node_on_event (&node, &tick, now_ms);
 }
 
-/* Found by the protocol scenario under a sanitizer: a vm that knew the state
- * of one server, but not yet the primary's, refused every write.
+/* Guards against a VM that refuses every write while it knows the state of one
+ * server, but not yet the primary's.  Found by the protocol scenario under a
+ * sanitizer.
  */
 static void
-a_write_waits_for_the_first_report_of_the_primary (void)
+write_waits_for_first_status_of_primary (void)
 {
   static const char target[]
       = "{\"group\":\"g\",\"ip\":\"10.0.0.9\",\"port\":1,"
@@ -249,11 +255,11 @@
   insert.caller_statement.caller = 1;
   insert.caller_statement.sql = "INSERT INTO x VALUES (1)";
   ss_node_on_event (&node, &insert, NOW_MS);
-  CU_ASSERT (!last_reply (&reply));
-  pass (NOW_MS + 400);
-  CU_ASSERT (!last_reply (&reply));
-  pass (NOW_MS + 600);
-  CU_ASSERT (last_reply (&reply));
+  CU_ASSERT (!take_last_reply (&reply));
+  send_tick (NOW_MS + 400);
+  CU_ASSERT (!take_last_reply (&reply));
+  send_tick (NOW_MS + 600);
+  CU_ASSERT (take_last_reply (&reply));
   CU_ASSERT (reply.verdict == SS_VERDICT_NOT_RUN);
   CU_ASSERT (reply.reason == SS_REASON_NO_PRIMARY);
   ss_action_clear (&reply);
@@ -261,15 +267,15 @@
 }
 
 CU_TestInfo test_session[] = {
-  { "knows its settings", knows_its_settings },
-  { "refuses what it can not serve at once",
-    refuses_what_it_can_not_serve_at_once },
-  { "a refused statement takes its id along",
-    a_refused_statement_takes_its_id_along },
-  { "a lost transaction takes no more statements",
-    a_lost_transaction_takes_no_more_statements },
-  { "a write waits for the first report of the primary",
-    a_write_waits_for_the_first_report_of_the_primary },
-  { "a commit tells of a loss untold", a_commit_tells_of_a_loss_untold },
+  { "proxy settings are set and shown", proxy_settings_are_set_and_shown },
+  { "what cannot be served is refused at once",
+    what_cannot_be_served_is_refused_at_once },
+  { "refused statement clears its idempotency key",
+    refused_statement_clears_its_idempotency_key },
+  { "lost transaction refuses statements",
+    lost_transaction_refuses_statements },
+  { "write waits for first status of primary",
+    write_waits_for_first_status_of_primary },
+  { "commit reports an unreported loss", commit_reports_an_unreported_loss },
   CU_TEST_INFO_NULL,
 };
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,3 +1,4 @@
+/* Settings files: accepted values and error messages. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -5,14 +6,16 @@
 #include "kernel/settings.h"
 #include "tests/unit.h"
 
-#define GOOD                                                                   \
+#define VALID_SETTINGS                                                         \
   "[vm]\nname = \"a\"\nfailure_domain = \"d\"\nip = \"127.0.0.1\"\n"           \
   "caller_port = 1\npeer_port = 2\nadmin_port = 3\n"                           \
   "[platform]\nip = \"127.0.0.1\"\nport = 4\n"
 
-/* The message that TEXT gives; NULL where it is valid. */
+/* Loads TEXT as a settings file.  Returns the error message, to be freed with
+ * g_free, or NULL if the file is valid.
+ */
 static char *
-check (const char *text)
+load_settings (const char *text)
 {
   char *path = NULL;
   int fd = g_file_open_tmp ("ss-settings-XXXXXX", &path, NULL);
@@ -29,59 +32,63 @@
 }
 
 static void
-expect (const char *text, const char *words)
+expect_error (const char *text, const char *excerpt)
 {
-  char *error = check (text);
+  char *error = load_settings (text);
 
   CU_ASSERT_PTR_NOT_NULL (error);
-  if (error && !strstr (error, words))
+  if (error && !strstr (error, excerpt))
     {
-      g_printerr ("got \"%s\", expected \"%s\"\n", error, words);
-      CU_FAIL ("the message does not say what is wrong");
+      g_printerr ("got \"%s\", expected \"%s\"\n", error, excerpt);
+      CU_FAIL ("the message lacks the expected text");
     }
   g_free (error);
 }
 
 static void
-takes_a_whole_file (void)
+valid_file_is_accepted (void)
 {
-  char *error = check (GOOD);
+  char *error = load_settings (VALID_SETTINGS);
 
   CU_ASSERT_PTR_NULL (error);
   g_free (error);
 }
 
 static void
-names_line_key_and_what_is_allowed (void)
+errors_name_line_key_and_allowed_values (void)
 {
-  expect (GOOD "colour = 1\n", ":11: unknown key platform.colour");
-  expect (GOOD "[log]\nlevel = 3\n", ":12: log.level must be a string");
-  expect (GOOD "[log]\nlevel = \"loud\"\n", "log.level must be debug, info");
-  expect (GOOD "[callers]\nmax = 0\n",
-          ":12: callers.max must be from 1 to 1000000");
-  expect (GOOD "[callers]\nmax = \"x\"\n",
-          ":12: callers.max must be an integer");
-  expect (GOOD "[log]\nspans = 1\n", "log.spans must be true or false");
-  expect ("[vm]\nname = \"a\"\n", "is missing");
-  expect ("[vm]\nname = \"\"\n", ":2: vm.name must not be empty");
-  expect (GOOD "[platform]\n", "platform");
-  expect (GOOD "port = 5\n", "port");
-  expect ("[vm\n", "");
+  expect_error (VALID_SETTINGS "colour = 1\n",
+                ":11: unknown key platform.colour");
+  expect_error (VALID_SETTINGS "[log]\nlevel = 3\n",
+                ":12: log.level must be a string");
+  expect_error (VALID_SETTINGS "[log]\nlevel = \"loud\"\n",
+                "log.level must be debug, info");
+  expect_error (VALID_SETTINGS "[callers]\nmax = 0\n",
+                ":12: callers.max must be from 1 to 1000000");
+  expect_error (VALID_SETTINGS "[callers]\nmax = \"x\"\n",
+                ":12: callers.max must be an integer");
+  expect_error (VALID_SETTINGS "[log]\nspans = 1\n",
+                "log.spans must be true or false");
+  expect_error ("[vm]\nname = \"a\"\n", "is missing");
+  expect_error ("[vm]\nname = \"\"\n", ":2: vm.name must not be empty");
+  expect_error (VALID_SETTINGS "[platform]\n", "platform");
+  expect_error (VALID_SETTINGS "port = 5\n", "port");
+  expect_error ("[vm\n", "");
 }
 
 static void
-refuses_names_for_addresses (void)
+host_names_are_refused (void)
 {
-  char **parts = g_strsplit (GOOD, "127.0.0.1", 2);
+  char **parts = g_strsplit (VALID_SETTINGS, "127.0.0.1", 2);
   char *text = g_strconcat (parts[0], "localhost", parts[1], NULL);
 
-  expect (text, "vm.ip must be an IPv4 number, not \"localhost\"");
+  expect_error (text, "vm.ip must be an IPv4 number, not \"localhost\"");
   g_free (text);
   g_strfreev (parts);
 }
 
 static void
-says_that_a_file_is_absent (void)
+missing_file_is_an_error (void)
 {
   SsSettings s;
   char *error = ss_settings_init (&s, "/nonexistent.toml");
@@ -91,37 +98,45 @@
   ss_settings_finish (&s);
 }
 
-/* The users' platform writes whole numbers as it likes. */
+/* The users' platform may write integers with a fraction of zero, and gives
+ * addresses as IP:PORT.
+ */
 static void
-takes_numbers_of_the_platform (void)
+settings_written_by_the_platform_are_accepted (void)
 {
-  char *error = check (GOOD "apply_ms = 3000.0\n[callers]\nmax = 7\n");
+  char *error = load_settings (VALID_SETTINGS
+                               "apply_ms = 3000.0\n[callers]\nmax = 7\n");
 
   CU_ASSERT_PTR_NULL (error);
   g_free (error);
-  expect (GOOD "apply_ms = 3000.5\n", "apply_ms must be an integer");
-  error = check ("[vm]\nname = \"a\"\nfailure_domain = \"d\"\n"
-                 "ip = \"127.0.0.1\"\ninterface = \"line\"\n"
-                 "callers_at = \"127.0.0.1:1\"\nready_at = \"127.0.0.1:5\"\n"
-                 "peer_port = 2\nadmin_port = 3\ngrace_s = 2.5\n"
-                 "[platform]\nat = \"127.0.0.1:4\"\n"
-                 "promotions_at = \"127.0.0.1:6\"\n");
+  expect_error (VALID_SETTINGS "apply_ms = 3000.5\n",
+                "apply_ms must be an integer");
+  error = load_settings (
+      "[vm]\nname = \"a\"\nfailure_domain = \"d\"\n"
+      "ip = \"127.0.0.1\"\ninterface = \"line\"\n"
+      "callers_at = \"127.0.0.1:1\"\nready_at = \"127.0.0.1:5\"\n"
+      "peer_port = 2\nadmin_port = 3\ngrace_s = 2.5\n"
+      "[platform]\nat = \"127.0.0.1:4\"\n"
+      "promotions_at = \"127.0.0.1:6\"\n");
   CU_ASSERT_PTR_NULL (error);
   g_free (error);
-  expect (GOOD "at = \"somewhere:1\"\n", "platform.at must be IPv4:PORT");
-  expect ("[vm]\nname = \"a\"\nfailure_domain = \"d\"\n"
-          "ip = \"127.0.0.1\"\ncaller_port = 1\npeer_port = 2\n"
-          "admin_port = 3\ninterface = \"telnet\"\n"
-          "[platform]\nip = \"127.0.0.1\"\nport = 4\n",
-          "vm.interface must be postgresql or line");
-  expect ("[vm]\ngrace_s = -1\n", "grace_s must be a number");
+  expect_error (VALID_SETTINGS "at = \"somewhere:1\"\n",
+                "platform.at must be IPv4:PORT");
+  expect_error ("[vm]\nname = \"a\"\nfailure_domain = \"d\"\n"
+                "ip = \"127.0.0.1\"\ncaller_port = 1\npeer_port = 2\n"
+                "admin_port = 3\ninterface = \"telnet\"\n"
+                "[platform]\nip = \"127.0.0.1\"\nport = 4\n",
+                "vm.interface must be postgresql or line");
+  expect_error ("[vm]\ngrace_s = -1\n", "grace_s must be a number");
 }
 
 CU_TestInfo test_settings[] = {
-  { "takes a whole file", takes_a_whole_file },
-  { "names line, key and what is allowed", names_line_key_and_what_is_allowed },
-  { "refuses names for addresses", refuses_names_for_addresses },
-  { "says that a file is absent", says_that_a_file_is_absent },
-  { "takes numbers of the platform", takes_numbers_of_the_platform },
+  { "valid file is accepted", valid_file_is_accepted },
+  { "errors name line, key and allowed values",
+    errors_name_line_key_and_allowed_values },
+  { "host names are refused", host_names_are_refused },
+  { "missing file is an error", missing_file_is_an_error },
+  { "settings written by the platform are accepted",
+    settings_written_by_the_platform_are_accepted },
   CU_TEST_INFO_NULL,
 };
