--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -67,7 +67,7 @@
 }
 
 /* A server that is added during a promotion shifts the indexes of the others in
- * the group.  The promotion must choose the most advanced one, as before.
+ * the group.  The promotion must still choose the most advanced one.
  */
 static void
 server_added_during_promotion_does_no_harm (void)
@@ -89,7 +89,9 @@
   line_world_finish (&w);
 }
 
-/* With one server of three left, nothing shows what a majority acknowledged. */
+/* With one server of three left, it is unknown which writes a majority
+ * acknowledged.
+ */
 static void
 single_server_is_not_promoted (void)
 {
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -225,7 +225,7 @@
   heartbeats = 10000 / vms[0].node.params.timing.heartbeat_ms + 1;
   CU_ASSERT (sent_between_domains
              <= heartbeats * 2 * SS_MEMBERS_RELAYS * SS_MEMBERS_RELAYS);
-  /* A heartbeat and a digest for each vm and relay, and the reports. */
+  /* A heartbeat and a digest for each VM and relay, plus the reports. */
   CU_ASSERT (sent - sent_between_domains
              <= heartbeats * 2 * VMS * SS_MEMBERS_RELAYS);
   end ();
