--- a/Makefile
+++ b/Makefile
@@ -8,29 +8,29 @@
 CSTD = -std=gnu11
 LIBS = $(shell pkg-config --libs $(PKGS)) -lev -lm
 
-KERNEL = names clock verdict counters log settings stream httpd httpc
+KERNEL = compare clock verdict counters log settings stream httpd httpc
 CORE = $(basename $(notdir $(wildcard src/core/*.c)))
 KERNEL_O = $(KERNEL:%=$B/src/kernel/%.o) $B/src/kernel/toml_shim.o
 CORE_O = $(CORE:%=$B/src/core/%.o) $B/proto/peer.pb-c.o
 PLATFORM = $(patsubst %.c,$B/%.o,$(wildcard platform/*.c))
 PLUGINS = pgserver pqtarget platform_http admin_http peer
-DAEMON_O = $(KERNEL_O) $(CORE_O) $B/src/kernel/plugin.o $B/src/kernel/callers.o $B/src/kernel/links.o $B/src/kernel/outcome.o \
+DAEMON_O = $(KERNEL_O) $(CORE_O) $B/src/kernel/plugin.o $B/src/kernel/callers.o $B/src/kernel/target_connections.o $B/src/kernel/http_outcome.o \
   $(PLUGINS:%=$B/src/plugins/%.o) $B/src/plugins/pgwire.o \
   $(PLATFORM) $B/src/daemon/main.o
-TARGET_O = $(addprefix $B/standin/,target.o link.o session.o server.o store.o sql.o) \
+TARGET_O = $(addprefix $B/standin/,target.o log_receiver.o session.o server.o store.o sql.o) \
   $B/src/kernel/stream.o $B/src/kernel/clock.o $B/src/plugins/pgwire.o
-PLATFORM_O = $B/standin/platform.o $B/src/kernel/names.o $B/src/kernel/httpd.o
+PLATFORM_O = $B/standin/platform.o $B/src/kernel/compare.o $B/src/kernel/httpd.o
 LOAD_O = $(addprefix $B/bench/,ss_load.o load_ops.o load_report.o \
   ledger.o)
 SCENARIO_O = $(addprefix $B/bench/,ss_scenario.o deploy.o deploy_control.o)
 NETWORK_O = $B/standin/network.o $B/src/kernel/httpd.o $B/src/kernel/stream.o
-WORLD_O = $(addprefix $B/tests/,world.o world_target.o world_platform.o \
-  world_callers.o) $B/bench/ledger.o $(CORE_O) \
+SIM_O = $(addprefix $B/tests/,sim.o sim_target.o sim_platform.o \
+  sim_callers.o) $B/bench/ledger.o $(CORE_O) \
   $(addprefix $B/standin/,session.o server.o store.o sql.o) \
-  $(addprefix $B/src/kernel/,names.o clock.o verdict.o counters.o log.o) \
+  $(addprefix $B/src/kernel/,compare.o clock.o verdict.o counters.o log.o) \
   $B/src/plugins/pgwire.o
 UNIT_O = $(patsubst %.c,$B/%.o,$(wildcard tests/test_*.c)) $B/tests/unit.o \
-  $(WORLD_O) $B/tests/line_world.o $(filter %/line.o %/dialect.o \
+  $(SIM_O) $B/tests/line_sim.o $(filter %/line.o %/dialect.o \
   %/errors.o %/records.o,$(PLATFORM)) $B/src/kernel/settings.o $B/src/kernel/toml_shim.o
 SOURCES = $(filter-out proto/%,$(wildcard src/*/*.[ch] src/*/*.cc \
   platform/*.[ch] standin/*.[ch] bench/*.[ch] tests/*.[ch]))
@@ -56,7 +56,7 @@
 	$(CC) $(SAN) -o $@ $^ $(LIBS)
 $B/ss-scenario: $(SCENARIO_O)
 	$(CC) $(SAN) -o $@ $^ $(LIBS)
-$B/ss-property: $(WORLD_O) $B/tests/property.o
+$B/ss-property: $(SIM_O) $B/tests/property.o
 	$(CC) $(SAN) -o $@ $^ $(LIBS)
 $B/ss-unit: $(UNIT_O)
 	$(CXX) $(SAN) -o $@ $^ $(LIBS) -lcunit
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -22,21 +22,21 @@
   g_hash_table_destroy (ledger->reasons);
 }
 
-SsFiling *
-ss_ledger_add (SsLedger *ledger, const char *key, const char *partner)
+SsLedgerWrite *
+ss_ledger_add (SsLedger *ledger, const char *key, const char *second_key)
 {
-  SsFiling *f = g_new0 (SsFiling, 1);
+  SsLedgerWrite *f = g_new0 (SsLedgerWrite, 1);
 
   g_strlcpy (f->key, key, sizeof f->key);
-  g_strlcpy (f->partner, partner ? partner : "", sizeof f->partner);
+  g_strlcpy (f->second_key, second_key ? second_key : "", sizeof f->second_key);
   g_ptr_array_add (ledger->writes, f);
   return f;
 }
 
 void
-ss_ledger_acknowledge (SsLedger *ledger, SsFiling *write, int64_t now_ms)
+ss_ledger_acknowledge (SsLedger *ledger, SsLedgerWrite *write, int64_t now_ms)
 {
-  write->fate = SS_FATE_ACKNOWLEDGED;
+  write->outcome = SS_WRITE_ACKNOWLEDGED;
   write->acknowledged_ms = now_ms;
   ledger->last_acknowledged_ms = now_ms;
   g_ptr_array_add (ledger->acknowledged, write);
@@ -78,16 +78,17 @@
 {
   for (guint i = 0; i < ledger->writes->len; i++)
     {
-      const SsFiling *f = g_ptr_array_index (ledger->writes, i);
+      const SsLedgerWrite *f = g_ptr_array_index (ledger->writes, i);
       uint32_t rows = row_count (counts, f->key);
 
-      if (f->fate == SS_FATE_ACKNOWLEDGED && rows == 0)
+      if (f->outcome == SS_WRITE_ACKNOWLEDGED && rows == 0)
         ledger->lost++;
-      if (f->fate == SS_FATE_NOT_RUN && rows > 0)
+      if (f->outcome == SS_WRITE_NOT_RUN && rows > 0)
         ledger->ran_though_not_run++;
       if (rows > 1)
         ledger->doubled++;
-      if (*f->partner && (rows > 0) != (row_count (counts, f->partner) > 0))
+      if (*f->second_key
+          && (rows > 0) != (row_count (counts, f->second_key) > 0))
         ledger->mixed++;
     }
 }
--- a/bench/ledger.h
+++ b/bench/ledger.h
@@ -12,24 +12,24 @@
 
 typedef enum
 {
-  SS_FATE_PENDING,
-  SS_FATE_ACKNOWLEDGED,
-  SS_FATE_NOT_RUN,
-  SS_FATE_UNKNOWN
-} SsFate;
+  SS_WRITE_PENDING,
+  SS_WRITE_ACKNOWLEDGED,
+  SS_WRITE_NOT_RUN,
+  SS_WRITE_UNKNOWN
+} SsWriteOutcome;
 
 /* One write.  The row's value is the same as its key. */
 typedef struct
 {
   char key[40];
-  char partner[40]; /* key of the transaction's second row; empty: none */
-  SsFate fate;
+  char second_key[40]; /* key of the transaction's second row; empty: none */
+  SsWriteOutcome outcome;
   int64_t acknowledged_ms;
-} SsFiling;
+} SsLedgerWrite;
 
 typedef struct
 {
-  GPtrArray *writes;       /* of SsFiling */
+  GPtrArray *writes;       /* of SsLedgerWrite */
   GPtrArray *acknowledged; /* in order of acknowledgement; borrowed */
 
   uint64_t statements;
@@ -59,12 +59,13 @@
 /* ss_ledger_add: records a new write as pending.  PARTNER may be NULL.  The
  * ledger owns the result.
  */
-SsFiling *ss_ledger_add (SsLedger *ledger, const char *key,
-                         const char *partner);
+SsLedgerWrite *ss_ledger_add (SsLedger *ledger, const char *key,
+                              const char *second_key);
 /* ss_ledger_acknowledge: marks WRITE as acknowledged and ends an outage of
  * writes.
  */
-void ss_ledger_acknowledge (SsLedger *ledger, SsFiling *write, int64_t now_ms);
+void ss_ledger_acknowledge (SsLedger *ledger, SsLedgerWrite *write,
+                            int64_t now_ms);
 /* ss_ledger_write_failed: records that a write sent at SENT_MS failed.  The
  * first failure since the last acknowledgement begins an outage.
  */
--- a/bench/load.h
+++ b/bench/load.h
@@ -18,8 +18,8 @@
   OP_WRITE_WITH_ID,
   OP_TRANSACTION,
   OP_READ_OWN,
-  OP_READ_ANY, /* any write acknowledged by must_see_ms */
-  OP_READ_AGED /* read with bounded staleness */
+  OP_READ_ANY,    /* any write acknowledged by must_see_ms */
+  OP_READ_BOUNDED /* read with bounded staleness */
 } OpKind;
 
 typedef struct
@@ -62,13 +62,13 @@
   ev_timer timer;
   bool connecting;
   char *token;
-  SsFiling *last_acknowledged; /* of this caller's writes */
+  SsLedgerWrite *last_acknowledged; /* of this caller's writes */
   OpKind op;
   char *steps[STEPS_MAX];
   int32_t step_count;
   int32_t step;
-  SsFiling *current_write;
-  SsFiling *expected_write; /* looked up by the current read */
+  SsLedgerWrite *current_write;
+  SsLedgerWrite *expected_write; /* looked up by the current read */
   int64_t op_started_ms;
   int64_t must_see_ms;     /* session reads see writes acknowledged by then */
   int64_t token_covers_ms; /* must_see_ms of the session that gave the token */
--- a/bench/load_ops.c
+++ b/bench/load_ops.c
@@ -37,7 +37,7 @@
     {
       add_step (c, g_strdup ("BEGIN"));
       add_step (c, insert_sql (key));
-      add_step (c, insert_sql (c->current_write->partner));
+      add_step (c, insert_sql (c->current_write->second_key));
       add_step (c, g_strdup ("COMMIT"));
       return;
     }
@@ -48,26 +48,27 @@
 new_write (Caller *c)
 {
   char key[40];
-  char partner[40];
+  char second_key[40];
 
   c->sequence++;
   g_snprintf (key, sizeof key, "c%d-%d", c->number, c->sequence);
-  g_snprintf (partner, sizeof partner, "c%d-%d-b", c->number, c->sequence);
-  c->current_write = ss_ledger_add (&load.ledger, key,
-                                    c->op == OP_TRANSACTION ? partner : NULL);
+  g_snprintf (second_key, sizeof second_key, "c%d-%d-b", c->number,
+              c->sequence);
+  c->current_write = ss_ledger_add (
+      &load.ledger, key, c->op == OP_TRANSACTION ? second_key : NULL);
 }
 
 /* Returns a random write acknowledged by BOUND_MS, or NULL if eight tries find
  * none.
  */
-static SsFiling *
+static SsLedgerWrite *
 pick_acknowledged (int64_t bound_ms)
 {
   GPtrArray *acknowledged = load.ledger.acknowledged;
 
   for (int32_t tries = 0; acknowledged->len && tries < 8; tries++)
     {
-      SsFiling *f = g_ptr_array_index (
+      SsLedgerWrite *f = g_ptr_array_index (
           acknowledged,
           g_rand_int_range (load.rand, 0, (gint32) acknowledged->len));
 
@@ -80,7 +81,7 @@
 static void
 build_read (Caller *c)
 {
-  bool bounded = c->op == OP_READ_AGED;
+  bool bounded = c->op == OP_READ_BOUNDED;
 
   load_clear_steps (c);
   c->expected_write = c->last_acknowledged;
@@ -102,7 +103,8 @@
 {
   if (c->number < load.readers)
     {
-      c->op = load_chance (load.bounded_percent) ? OP_READ_AGED : OP_READ_ANY;
+      c->op
+          = load_chance (load.bounded_percent) ? OP_READ_BOUNDED : OP_READ_ANY;
       return;
     }
   if (!c->last_acknowledged || load_chance (load.write_percent))
@@ -114,7 +116,7 @@
         c->op = OP_WRITE_WITH_ID;
       return;
     }
-  c->op = load_chance (load.bounded_percent) ? OP_READ_AGED : OP_READ_OWN;
+  c->op = load_chance (load.bounded_percent) ? OP_READ_BOUNDED : OP_READ_OWN;
 }
 
 bool
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -222,9 +222,9 @@
   if (!safe || op_timed_out (c))
     {
       /* An earlier attempt with the same idempotency key may have run. */
-      c->current_write->fate = not_run && c->op != OP_WRITE_WITH_ID
-                                   ? SS_FATE_NOT_RUN
-                                   : SS_FATE_UNKNOWN;
+      c->current_write->outcome = not_run && c->op != OP_WRITE_WITH_ID
+                                      ? SS_WRITE_NOT_RUN
+                                      : SS_WRITE_UNKNOWN;
       end_op (c);
       return;
     }
@@ -415,7 +415,7 @@
       if (load.stopping && op_timed_out (c))
         {
           if (c->current_write)
-            c->current_write->fate = SS_FATE_UNKNOWN;
+            c->current_write->outcome = SS_WRITE_UNKNOWN;
           end_caller (c);
         }
       else
--- a/src/core/config.c
+++ b/src/core/config.c
@@ -5,7 +5,7 @@
 #include <xxhash.h>
 
 #include "core/parse.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 const char *
 ss_server_role_text (SsServerRole role)
@@ -74,11 +74,13 @@
 void
 ss_config_init (SsConfig *config)
 {
-  config->objects = g_tree_new_full (ss_names_compare, NULL, NULL, stored_free);
+  config->objects
+      = g_tree_new_full (ss_compare_strings, NULL, NULL, stored_free);
   config->services
-      = g_tree_new_full (ss_names_compare, NULL, NULL, service_free);
-  config->targets = g_tree_new_full (ss_names_compare, NULL, NULL, target_free);
-  config->groups = g_tree_new_full (ss_names_compare, NULL, NULL, group_free);
+      = g_tree_new_full (ss_compare_strings, NULL, NULL, service_free);
+  config->targets
+      = g_tree_new_full (ss_compare_strings, NULL, NULL, target_free);
+  config->groups = g_tree_new_full (ss_compare_strings, NULL, NULL, group_free);
   config->max_connections
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   config->transaction_idle_ms = 0;
@@ -270,7 +272,7 @@
   const char *name;
   json_t *service;
 
-  c->services = g_tree_new_full (ss_names_compare, NULL, NULL, service_free);
+  c->services = g_tree_new_full (ss_compare_strings, NULL, NULL, service_free);
   json_object_foreach (json_object_get (json, "services"), name, service)
   {
     if (!error)
--- a/src/core/config_sync.c
+++ b/src/core/config_sync.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "core/peers.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 #define PULL_INTERVAL_MS 300
 #define WITHOUT_REVISION (-1)
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -179,9 +179,9 @@
 static void
 reply_transaction_lost (SsNode *node, SsSession *s, const char *sql)
 {
-  bool rolls_back = ss_sql_begins_with (sql, "rollback")
-                    || ss_sql_begins_with (sql, "abort");
-  bool ends = ss_sql_ends_transaction (sql);
+  bool rolls_back = ss_session_sql_begins_with (sql, "rollback")
+                    || ss_session_sql_begins_with (sql, "abort");
+  bool ends = ss_session_sql_ends_transaction (sql);
   bool silent = rolls_back || (ends && !s->loss_unreported);
 
   ss_session_note_loss_reported (s, sql);
@@ -218,12 +218,12 @@
       reply_transaction_lost (node, s, sql);
       return;
     }
-  ss_sql_parse_setting (&setting, sql);
+  ss_session_sql_parse_setting (&setting, sql);
   if (setting.kind != SS_SETTING_STATEMENT_NONE)
     ss_session_run_setting (node, s, &setting);
   else
     ss_entry_dispatch (node, ss_entry_create_request (node, s, sql));
-  ss_sql_setting_finish (&setting);
+  ss_session_sql_setting_finish (&setting);
 }
 
 void
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -160,7 +160,7 @@
 void ss_pending_wake (SsNode *node, const char *group, SsWait wait);
 void ss_pending_tick (SsNode *node);
 
-/* --- sql.c: SET, RESET and SHOW of session settings --- */
+/* --- session_sql.c: SET, RESET and SHOW of session settings --- */
 
 typedef enum
 {
@@ -177,19 +177,21 @@
   char *value; /* NULL: RESET */
 } SsSettingStatement;
 
-/* ss_sql_parse_setting: parses SQL where it is SET, RESET or SHOW of
+/* ss_session_sql_parse_setting: parses SQL where it is SET, RESET or SHOW of
  * sapphirestair.*; else the kind is SS_SETTING_STATEMENT_NONE.
  */
-void ss_sql_parse_setting (SsSettingStatement *setting, const char *sql);
-void ss_sql_setting_finish (SsSettingStatement *setting);
-/* ss_sql_begins_with: whether SQL begins with WORD, in any case. */
-bool ss_sql_begins_with (const char *sql, const char *word);
-/* ss_sql_is_read_only_begin: whether SQL is BEGIN READ ONLY or START
+void ss_session_sql_parse_setting (SsSettingStatement *setting,
+                                   const char *sql);
+void ss_session_sql_setting_finish (SsSettingStatement *setting);
+/* ss_session_sql_begins_with: whether SQL begins with WORD, in any case. */
+bool ss_session_sql_begins_with (const char *sql, const char *word);
+/* ss_session_sql_is_read_only_begin: whether SQL is BEGIN READ ONLY or START
  * TRANSACTION READ ONLY.
  */
-bool ss_sql_is_read_only_begin (const char *sql);
-/* ss_sql_ends_transaction: whether SQL is COMMIT, END, ROLLBACK or ABORT. */
-bool ss_sql_ends_transaction (const char *sql);
+bool ss_session_sql_is_read_only_begin (const char *sql);
+/* ss_session_sql_ends_transaction: whether SQL is COMMIT, END, ROLLBACK or
+ * ABORT. */
+bool ss_session_sql_ends_transaction (const char *sql);
 
 /* --- choice.c: selects the server for a read or a write --- */
 
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "core/rank.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 static void
 member_free (gpointer data)
@@ -24,7 +24,7 @@
   SsMember *self;
 
   members->by_name
-      = g_tree_new_full (ss_names_compare, NULL, NULL, member_free);
+      = g_tree_new_full (ss_compare_strings, NULL, NULL, member_free);
   members->self = g_strdup (vm);
   members->failure_domain = g_strdup (failure_domain);
   members->generation = 1;
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "core/internal.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 /* If no event came for this long, the process was suspended. */
 #define PAUSE_MS 700
@@ -57,9 +57,9 @@
   ss_owner_init (node);
   ss_admin_init (node);
   node->confirmed_positions
-      = g_tree_new_full (ss_names_compare, NULL, NULL, ss_confirmed_free);
+      = g_tree_new_full (ss_compare_strings, NULL, NULL, ss_confirmed_free);
   node->promotions
-      = g_tree_new_full (ss_names_compare, NULL, NULL, promotion_free);
+      = g_tree_new_full (ss_compare_strings, NULL, NULL, promotion_free);
 }
 
 void
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "core/owner.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 #define CONNECT_TIMEOUT_MS 1000
 #define CONNECT_BACKOFF_MS 50
@@ -41,7 +41,7 @@
 void
 ss_owner_init (SsNode *node)
 {
-  node->owned = g_tree_new_full (ss_names_compare, NULL, g_free, free_owned);
+  node->owned = g_tree_new_full (ss_compare_strings, NULL, g_free, free_owned);
   node->connections = g_hash_table_new (g_int64_hash, g_int64_equal);
 }
 
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "core/peers.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 #define HEARD_WITHIN_MS 600
 #define SUBSCRIBE_INTERVAL_MS 1000
@@ -263,7 +263,7 @@
 subscribe (SsNode *node)
 {
   Subscriptions s
-      = { node, g_tree_new_full (ss_names_compare, NULL, NULL,
+      = { node, g_tree_new_full (ss_compare_strings, NULL, NULL,
                                  (GDestroyNotify) g_ptr_array_unref) };
 
   node->subscribe_due_ms = node->now_ms + SUBSCRIBE_INTERVAL_MS;
--- a/src/core/replay.c
+++ b/src/core/replay.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "core/statement.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 void
 ss_statement_finish (SsStatement *statement)
@@ -30,7 +30,7 @@
                       const char *value)
 {
   if (!state->values)
-    state->values = g_tree_new_full (ss_names_compare, NULL, g_free, g_free);
+    state->values = g_tree_new_full (ss_compare_strings, NULL, g_free, g_free);
   g_tree_replace (state->values, g_strdup (name), g_strdup (value));
 }
 
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -207,7 +207,7 @@
 ss_session_note_loss_reported (SsSession *s, const char *sql)
 {
   s->loss_unreported = false;
-  if (ss_sql_ends_transaction (sql))
+  if (ss_session_sql_ends_transaction (sql))
     s->status = 'I';
 }
 
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -25,10 +25,10 @@
   if (!s->request_key || r->is_read)
     return false;
   if (s->pinned_vm)
-    return ss_sql_begins_with (r->sql, "commit")
-           || ss_sql_begins_with (r->sql, "end");
-  return !ss_sql_begins_with (r->sql, "begin")
-         && !ss_sql_begins_with (r->sql, "start");
+    return ss_session_sql_begins_with (r->sql, "commit")
+           || ss_session_sql_begins_with (r->sql, "end");
+  return !ss_session_sql_begins_with (r->sql, "begin")
+         && !ss_session_sql_begins_with (r->sql, "start");
 }
 
 static gboolean
@@ -273,14 +273,14 @@
     }
   if (!kind)
     kind = service->default_kind;
-  if (ss_sql_is_read_only_begin (r->sql))
+  if (ss_session_sql_is_read_only_begin (r->sql))
     {
       r->is_read = true;
       kind = *kind && strcmp (kind, "write") != 0 ? kind : "session";
     }
   else if (strcmp (kind, "write") != 0 && *kind)
-    r->is_read = !ss_sql_begins_with (r->sql, "begin")
-                 && !ss_sql_begins_with (r->sql, "start");
+    r->is_read = !ss_session_sql_begins_with (r->sql, "begin")
+                 && !ss_session_sql_begins_with (r->sql, "start");
   if (!r->is_read)
     return true;
   r->strict = s->strict || strcmp (kind, "strict") == 0;
--- a/src/core/sql.c
+++ b/src/core/session_sql.c
@@ -1,4 +1,4 @@
-/* sql: SET, RESET and SHOW of session settings, which the proxy answers
+/* session_sql: SET, RESET and SHOW of session settings, which the proxy answers
  * itself, and the first words of other statements.
  */
 #include <string.h>
@@ -60,7 +60,7 @@
 }
 
 void
-ss_sql_parse_setting (SsSettingStatement *setting, const char *sql)
+ss_session_sql_parse_setting (SsSettingStatement *setting, const char *sql)
 {
   GScanner *s;
 
@@ -68,8 +68,9 @@
   /* Most statements are none of these.  Check the first word before the costly
    * set-up of a scanner.
    */
-  if (!ss_sql_begins_with (sql, "set") && !ss_sql_begins_with (sql, "reset")
-      && !ss_sql_begins_with (sql, "show"))
+  if (!ss_session_sql_begins_with (sql, "set")
+      && !ss_session_sql_begins_with (sql, "reset")
+      && !ss_session_sql_begins_with (sql, "show"))
     return;
   s = ss_scanner_new (sql, "_.");
   if (ss_scanner_next_is_word (s, "set"))
@@ -92,14 +93,14 @@
 }
 
 void
-ss_sql_setting_finish (SsSettingStatement *setting)
+ss_session_sql_setting_finish (SsSettingStatement *setting)
 {
   g_free (setting->name);
   g_free (setting->value);
 }
 
 bool
-ss_sql_begins_with (const char *sql, const char *word)
+ss_session_sql_begins_with (const char *sql, const char *word)
 {
   size_t bytes = strlen (word);
 
@@ -110,12 +111,13 @@
 }
 
 bool
-ss_sql_is_read_only_begin (const char *sql)
+ss_session_sql_is_read_only_begin (const char *sql)
 {
   GScanner *s;
   bool read_only;
 
-  if (!ss_sql_begins_with (sql, "begin") && !ss_sql_begins_with (sql, "start"))
+  if (!ss_session_sql_begins_with (sql, "begin")
+      && !ss_session_sql_begins_with (sql, "start"))
     return false;
   s = ss_scanner_new (sql, "_.");
   g_scanner_get_next_token (s);
@@ -128,9 +130,10 @@
 }
 
 bool
-ss_sql_ends_transaction (const char *sql)
+ss_session_sql_ends_transaction (const char *sql)
 {
-  return ss_sql_begins_with (sql, "commit") || ss_sql_begins_with (sql, "end")
-         || ss_sql_begins_with (sql, "rollback")
-         || ss_sql_begins_with (sql, "abort");
+  return ss_session_sql_begins_with (sql, "commit")
+         || ss_session_sql_begins_with (sql, "end")
+         || ss_session_sql_begins_with (sql, "rollback")
+         || ss_session_sql_begins_with (sql, "abort");
 }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -18,13 +18,13 @@
 
   (void) loop;
   (void) events;
-  ss_shell_event (w->data, &e);
+  ss_runtime_event (w->data, &e);
 }
 
 /* Reloads the settings on SIGHUP and when the content of the file changes. */
 typedef struct
 {
-  SsShell *shell;
+  SsRuntime *runtime;
   const char *path;
   guint hash;
   ev_signal on_hup;
@@ -52,7 +52,7 @@
   (void) loop;
   (void) events;
   r->hash = hash_file (r->path);
-  ss_shell_reload (r->shell, r->path);
+  ss_runtime_reload (r->runtime, r->path);
 }
 
 static void
@@ -66,21 +66,21 @@
   if (!hash || hash == r->hash)
     return;
   r->hash = hash;
-  ss_shell_reload (r->shell, r->path);
+  ss_runtime_reload (r->runtime, r->path);
 }
 
 static void
-start_reload (Reload *r, SsShell *shell, const char *path)
+start_reload (Reload *r, SsRuntime *runtime, const char *path)
 {
-  r->shell = shell;
+  r->runtime = runtime;
   r->path = path;
   r->hash = hash_file (path);
   ev_signal_init (&r->on_hup, on_hup_signal, SIGHUP);
   r->on_hup.data = r;
-  ev_signal_start (shell->loop, &r->on_hup);
+  ev_signal_start (runtime->loop, &r->on_hup);
   ev_timer_init (&r->poll, on_poll_timer, SETTINGS_POLL_S, SETTINGS_POLL_S);
   r->poll.data = r;
-  ev_timer_start (shell->loop, &r->poll);
+  ev_timer_start (runtime->loop, &r->poll);
 }
 
 /* Each caller needs a file descriptor: allow as many as the system permits. */
@@ -98,7 +98,7 @@
 static int
 run (const SsSettings *settings, const char *path)
 {
-  static SsShell shell;
+  static SsRuntime runtime;
   static Reload reload;
   struct ev_loop *loop = ev_default_loop (0);
   ev_signal on_term;
@@ -107,27 +107,27 @@
 
   signal (SIGPIPE, SIG_IGN);
   raise_descriptor_limit ();
-  error = ss_shell_init (&shell, loop, ss_clock_monotonic (), settings);
+  error = ss_runtime_init (&runtime, loop, ss_clock_monotonic (), settings);
   if (error)
     {
       fprintf (stderr, "sapphirestaird: %s\n", error);
       g_free (error);
-      ss_shell_finish (&shell);
+      ss_runtime_finish (&runtime);
       return 1;
     }
   ev_signal_init (&on_term, on_stop_signal, SIGTERM);
-  on_term.data = &shell;
+  on_term.data = &runtime;
   ev_signal_start (loop, &on_term);
   ev_signal_init (&on_int, on_stop_signal, SIGINT);
-  on_int.data = &shell;
+  on_int.data = &runtime;
   ev_signal_start (loop, &on_int);
-  start_reload (&reload, &shell, path);
-  ss_log_write (&shell.log, SS_EVENT_LOG_STARTED, "subject", settings->vm_name,
-                "detail", VERSION, NULL);
+  start_reload (&reload, &runtime, path);
+  ss_log_write (&runtime.log, SS_EVENT_LOG_STARTED, "subject",
+                settings->vm_name, "detail", VERSION, NULL);
   ev_run (loop, 0);
-  ss_log_write (&shell.log, SS_EVENT_LOG_STOPPED, "subject", settings->vm_name,
-                NULL);
-  ss_shell_finish (&shell);
+  ss_log_write (&runtime.log, SS_EVENT_LOG_STOPPED, "subject",
+                settings->vm_name, NULL);
+  ss_runtime_finish (&runtime);
   return 0;
 }
 
--- a/src/kernel/callers.c
+++ b/src/kernel/callers.c
@@ -9,7 +9,7 @@
 static int64_t
 now_ms (const SsCaller *c)
 {
-  return ss_clock_now_ms (c->callers->shell->clock);
+  return ss_clock_now_ms (c->callers->runtime->clock);
 }
 
 static bool
@@ -24,7 +24,7 @@
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_CLOSE, .caller = { id } };
 
-  ss_shell_event (callers->shell, &e);
+  ss_runtime_event (callers->runtime, &e);
 }
 
 /* --- one caller --- */
@@ -36,14 +36,14 @@
 }
 
 void
-ss_caller_rest (SsCaller *c)
+ss_caller_set_idle (SsCaller *c)
 {
   c->state = SS_CALLER_IDLE;
   c->active_ms = now_ms (c);
 }
 
 void
-ss_caller_answered (SsCaller *c)
+ss_caller_resume (SsCaller *c)
 {
   ss_stream_flush (&c->stream);
   ss_stream_schedule_input (&c->stream);
@@ -58,7 +58,7 @@
 }
 
 void
-ss_caller_end (SsCaller *c)
+ss_caller_close_and_notify (SsCaller *c)
 {
   SsCallers *callers = c->callers;
   uint64_t id = c->id;
@@ -78,7 +78,7 @@
 }
 
 void
-ss_caller_drop (SsCaller *c)
+ss_caller_free_and_notify (SsCaller *c)
 {
   SsCallers *callers = c->callers;
   uint64_t id = c->id;
@@ -127,7 +127,7 @@
 static void
 on_closed (SsStream *stream)
 {
-  ss_caller_drop ((SsCaller *) stream);
+  ss_caller_free_and_notify ((SsCaller *) stream);
 }
 
 /* --- accepting and timeouts --- */
@@ -142,7 +142,7 @@
   c->id = ++callers->next_id;
   c->status = 'I';
   c->active_ms = now_ms (c);
-  ss_stream_init (&c->stream, &klass, callers->shell->loop, fd, false);
+  ss_stream_init (&c->stream, &klass, callers->runtime->loop, fd, false);
   g_hash_table_insert (callers->by_id, &c->id, c);
   if (callers->klass->on_accept)
     callers->klass->on_accept (c);
@@ -162,7 +162,7 @@
 static bool
 has_timed_out (const SsCaller *c, int64_t age_ms)
 {
-  const SsSettings *s = c->callers->shell->settings;
+  const SsSettings *s = c->callers->runtime->settings;
 
   return (c->state == SS_CALLER_STARTING && age_ms >= s->startup_timeout_ms)
          || (c->state == SS_CALLER_IDLE && age_ms >= s->idle_timeout_ms);
@@ -176,7 +176,7 @@
   if (c->state == SS_CALLER_CLOSING && age_ms >= CLOSE_TIMEOUT_MS)
     ss_caller_free (c);
   else if (has_timed_out (c, age_ms))
-    c->callers->klass->on_overdue (c);
+    c->callers->klass->on_timeout (c);
 }
 
 static void
@@ -195,23 +195,23 @@
 
 char *
 ss_callers_init (SsCallers *callers, const SsCallersClass *klass,
-                 SsShell *shell)
+                 SsRuntime *runtime)
 {
-  const SsSettings *s = shell->settings;
+  const SsSettings *s = runtime->settings;
   int fd = ss_stream_listen (s->ip, (uint16_t) s->caller_port);
 
   if (fd < 0)
     return g_strdup_printf ("can't listen for callers on %s:%d: %s", s->ip,
                             (int) s->caller_port, g_strerror (errno));
   callers->klass = klass;
-  callers->shell = shell;
+  callers->runtime = runtime;
   callers->by_id = g_hash_table_new (g_int64_hash, g_int64_equal);
   ev_io_init (&callers->accept_io, on_accept, fd, EV_READ);
   callers->accept_io.data = callers;
-  ev_io_start (shell->loop, &callers->accept_io);
+  ev_io_start (runtime->loop, &callers->accept_io);
   ev_timer_init (&callers->sweep, on_sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S);
   callers->sweep.data = callers;
-  ev_timer_start (shell->loop, &callers->sweep);
+  ev_timer_start (runtime->loop, &callers->sweep);
   return NULL;
 }
 
@@ -223,8 +223,8 @@
 
   if (!callers->by_id)
     return;
-  ev_io_stop (callers->shell->loop, &callers->accept_io);
-  ev_timer_stop (callers->shell->loop, &callers->sweep);
+  ev_io_stop (callers->runtime->loop, &callers->accept_io);
+  ev_timer_stop (callers->runtime->loop, &callers->sweep);
   g_hash_table_iter_init (&iter, callers->by_id);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -241,8 +241,8 @@
 }
 
 bool
-ss_callers_is_over (const SsCallers *callers)
+ss_callers_is_over_limit (const SsCallers *callers)
 {
   return g_hash_table_size (callers->by_id)
-         > (guint) callers->shell->settings->max_callers;
+         > (guint) callers->runtime->settings->max_callers;
 }
--- a/src/kernel/callers.h
+++ b/src/kernel/callers.h
@@ -43,13 +43,13 @@
   /* Optional: called for a new caller before its first message. */
   void (*on_accept) (SsCaller *caller);
   /* Ends a caller that exceeded the start-up or idle timeout. */
-  void (*on_overdue) (SsCaller *caller);
+  void (*on_timeout) (SsCaller *caller);
 } SsCallersClass;
 
 struct SsCallers
 {
   const SsCallersClass *klass;
-  SsShell *shell;
+  SsRuntime *runtime;
   ev_io accept_io;
   ev_timer sweep;
   GHashTable *by_id; /* id -> SsCaller; NULL: not started */
@@ -60,33 +60,33 @@
  * success, else an error message to be freed with g_free.
  */
 char *ss_callers_init (SsCallers *callers, const SsCallersClass *klass,
-                       SsShell *shell);
+                       SsRuntime *runtime);
 /* ss_callers_finish: closes all connections; does nothing if init failed. */
 void ss_callers_finish (SsCallers *callers);
 /* ss_callers_find: returns NULL if no caller has ID. */
 SsCaller *ss_callers_find (const SsCallers *callers, uint64_t id);
-/* ss_callers_is_over: returns whether there are more callers than callers.max
- * allows.
+/* ss_callers_is_over_limit: returns whether there are more callers than
+ * callers.max allows.
  */
-bool ss_callers_is_over (const SsCallers *callers);
+bool ss_callers_is_over_limit (const SsCallers *callers);
 
 /* ss_caller_output: returns the output buffer to append to. */
 GByteArray *ss_caller_output (SsCaller *caller);
-/* ss_caller_rest: marks CALLER idle; it may send its next statement. */
-void ss_caller_rest (SsCaller *caller);
-/* ss_caller_answered: flushes the output and schedules processing of the input
+/* ss_caller_set_idle: marks CALLER idle; it may send its next statement. */
+void ss_caller_set_idle (SsCaller *caller);
+/* ss_caller_resume: flushes the output and schedules processing of the input
  * that arrived meanwhile.
  */
-void ss_caller_answered (SsCaller *caller);
+void ss_caller_resume (SsCaller *caller);
 /* ss_caller_close: closes the connection once the output is sent. */
 void ss_caller_close (SsCaller *caller);
-/* ss_caller_end: like ss_caller_close, and notifies the core. */
-void ss_caller_end (SsCaller *caller);
+/* ss_caller_close_and_notify: like ss_caller_close, and notifies the core. */
+void ss_caller_close_and_notify (SsCaller *caller);
 /* ss_caller_free: closes the connection at once and frees CALLER; doesn't
  * notify the core.
  */
 void ss_caller_free (SsCaller *caller);
-/* ss_caller_drop: like ss_caller_free, and notifies the core. */
-void ss_caller_drop (SsCaller *caller);
+/* ss_caller_free_and_notify: like ss_caller_free, and notifies the core. */
+void ss_caller_free_and_notify (SsCaller *caller);
 
 #endif
--- a/src/kernel/outcome.c
+++ b/src/kernel/http_outcome.c
@@ -1,4 +1,4 @@
-#include "kernel/outcome.h"
+#include "kernel/http_outcome.h"
 
 SsPlatformOutcome
 ss_http_outcome (const SsHttpCall *call)
--- a/src/kernel/outcome.h
+++ b/src/kernel/http_outcome.h
@@ -1,6 +1,6 @@
-/* outcome: maps an HTTP response to the outcome of a platform call. */
-#ifndef SS_OUTCOME_H
-#define SS_OUTCOME_H
+/* http_outcome: maps an HTTP response to the outcome of a platform call. */
+#ifndef SS_HTTP_OUTCOME_H
+#define SS_HTTP_OUTCOME_H
 
 #include "core/event.h"
 #include "kernel/httpc.h"
--- a/src/kernel/httpc.c
+++ b/src/kernel/httpc.c
@@ -175,7 +175,7 @@
 /* --- calls --- */
 
 void
-ss_http_call_header (SsHttpCall *call, const char *line)
+ss_http_call_add_header (SsHttpCall *call, const char *line)
 {
   call->headers = curl_slist_append (call->headers, line);
 }
@@ -205,8 +205,8 @@
     curl_easy_setopt (easy, CURLOPT_INTERFACE, client->source_ip);
   if (call->body)
     {
-      ss_http_call_header (call, "Content-Type: application/json");
-      ss_http_call_header (call, "Expect:");
+      ss_http_call_add_header (call, "Content-Type: application/json");
+      ss_http_call_add_header (call, "Expect:");
       curl_easy_setopt (easy, CURLOPT_POSTFIELDS, call->body);
     }
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, call->headers);
--- a/src/kernel/httpc.h
+++ b/src/kernel/httpc.h
@@ -58,8 +58,8 @@
  */
 void ss_httpc_finish (SsHttpc *client);
 
-/* ss_http_call_header: adds a header line to CALL before its start. */
-void ss_http_call_header (SsHttpCall *call, const char *line);
+/* ss_http_call_add_header: adds a header line to CALL before its start. */
+void ss_http_call_add_header (SsHttpCall *call, const char *line);
 /* ss_http_call_start: sends a METHOD request to URL with call->body (owned by
  * CALL; NULL: no body).
  */
--- a/src/kernel/httpd.c
+++ b/src/kernel/httpd.c
@@ -117,8 +117,8 @@
   (void) code;
   if (!r)
     return;
-  if (!r->replied && h->klass->on_gone)
-    h->klass->on_gone (h, r);
+  if (!r->replied && h->klass->on_disconnect)
+    h->klass->on_disconnect (h, r);
   g_byte_array_free (r->body, TRUE);
   g_free (r->reply_body);
   g_free (r->method);
--- a/src/kernel/httpd.h
+++ b/src/kernel/httpd.h
@@ -21,7 +21,7 @@
   /* Handles REQUEST; calls ss_http_reply during the call or later. */
   void (*handle) (SsHttpd *httpd, SsHttpRequest *request);
   /* Optional: the connection ended before the reply. */
-  void (*on_gone) (SsHttpd *httpd, SsHttpRequest *request);
+  void (*on_disconnect) (SsHttpd *httpd, SsHttpRequest *request);
 } SsHttpdClass;
 
 struct SsHttpd
--- a/src/kernel/plugin.c
+++ b/src/kernel/plugin.c
@@ -30,49 +30,50 @@
 }
 
 static bool
-is_enabled (const SsShell *shell, const SsPlugin *plugin)
+is_enabled (const SsRuntime *runtime, const SsPlugin *plugin)
 {
   return plugin->interface == SS_INTERFACE_ANY
-         || plugin->interface == shell->interface;
+         || plugin->interface == runtime->interface;
 }
 
 static void
-write_log (SsShell *shell, const SsAction *a)
+write_log (SsRuntime *runtime, const SsAction *a)
 {
-  ss_log_write (&shell->log, a->log_event, "subject", a->name, "detail",
+  ss_log_write (&runtime->log, a->log_event, "subject", a->name, "detail",
                 a->text, NULL);
 }
 
 static void
-dispatch (SsShell *shell, SsAction *a)
+dispatch (SsRuntime *runtime, SsAction *a)
 {
   if (a->kind == SS_ACTION_LOG)
     {
-      write_log (shell, a);
+      write_log (runtime, a);
       return;
     }
   if (a->kind == SS_ACTION_STOPPED)
     {
-      ev_break (shell->loop, EVBREAK_ALL);
+      ev_break (runtime->loop, EVBREAK_ALL);
       return;
     }
   for (uint32_t i = 0; i < plugin_count; i++)
-    if (is_enabled (shell, plugins[i]) && plugins[i]->handles & (1U << a->kind))
-      plugins[i]->on_action (shell, a);
+    if (is_enabled (runtime, plugins[i])
+        && plugins[i]->handles & (1U << a->kind))
+      plugins[i]->on_action (runtime, a);
 }
 
 /* A plug-in may pass an event while it carries out an action: the nested call
  * then carries out the remaining actions in order.
  */
 void
-ss_shell_event (SsShell *shell, const SsEvent *event)
+ss_runtime_event (SsRuntime *runtime, const SsEvent *event)
 {
   SsAction action;
 
-  ss_node_on_event (&shell->node, event, ss_clock_now_ms (shell->clock));
-  while (ss_node_take_action (&shell->node, &action))
+  ss_node_on_event (&runtime->node, event, ss_clock_now_ms (runtime->clock));
+  while (ss_node_take_action (&runtime->node, &action))
     {
-      dispatch (shell, &action);
+      dispatch (runtime, &action);
       ss_action_clear (&action);
     }
 }
@@ -84,22 +85,22 @@
 
   (void) loop;
   (void) events;
-  ss_shell_event (w->data, &e);
+  ss_runtime_event (w->data, &e);
 }
 
 static void
 on_prepare (struct ev_loop *loop, ev_prepare *w, int events)
 {
-  SsShell *shell = w->data;
-  int64_t wait_ms
-      = ss_node_next_deadline (&shell->node) - ss_clock_now_ms (shell->clock);
+  SsRuntime *runtime = w->data;
+  int64_t wait_ms = ss_node_next_deadline (&runtime->node)
+                    - ss_clock_now_ms (runtime->clock);
   double wait_s = wait_ms > 0 ? (double) wait_ms / 1000.0 : TICK_MIN_S;
 
   (void) events;
   ev_now_update (loop);
-  ev_timer_stop (loop, &shell->tick);
-  ev_timer_set (&shell->tick, wait_s, 0);
-  ev_timer_start (loop, &shell->tick);
+  ev_timer_stop (loop, &runtime->tick);
+  ev_timer_set (&runtime->tick, wait_s, 0);
+  ev_timer_start (loop, &runtime->tick);
 }
 
 static void
@@ -137,86 +138,87 @@
 }
 
 char *
-ss_shell_init (SsShell *shell, struct ev_loop *loop, const SsClock *clock,
-               const SsSettings *settings)
+ss_runtime_init (SsRuntime *runtime, struct ev_loop *loop, const SsClock *clock,
+                 const SsSettings *settings)
 {
   SsNodeParams params;
   SsLogLevel level = SS_LOG_INFO;
   char *error = NULL;
 
-  shell->loop = loop;
-  shell->clock = clock;
-  shell->settings = settings;
+  runtime->loop = loop;
+  runtime->clock = clock;
+  runtime->settings = settings;
   ss_log_level_parse (settings->log_level, &level);
-  ss_log_init (&shell->log, settings->vm_name, level, settings->log_spans != 0);
-  ss_interface_parse (settings->interface, &shell->interface);
+  ss_log_init (&runtime->log, settings->vm_name, level,
+               settings->log_spans != 0);
+  ss_interface_parse (settings->interface, &runtime->interface);
   fill_params (&params, settings, g_random_int ());
   for (uint32_t i = 0; i < plugin_count; i++)
-    if (is_enabled (shell, plugins[i]) && plugins[i]->prepare)
+    if (is_enabled (runtime, plugins[i]) && plugins[i]->prepare)
       plugins[i]->prepare (settings, &params);
-  ss_node_init (&shell->node, &params, ss_clock_now_ms (clock));
-  ev_timer_init (&shell->tick, on_tick, 0, 0);
-  shell->tick.data = shell;
-  ev_prepare_init (&shell->prepare, on_prepare);
-  shell->prepare.data = shell;
-  ev_prepare_start (loop, &shell->prepare);
+  ss_node_init (&runtime->node, &params, ss_clock_now_ms (clock));
+  ev_timer_init (&runtime->tick, on_tick, 0, 0);
+  runtime->tick.data = runtime;
+  ev_prepare_init (&runtime->prepare, on_prepare);
+  runtime->prepare.data = runtime;
+  ev_prepare_start (loop, &runtime->prepare);
   for (uint32_t i = 0; i < plugin_count && !error; i++)
-    if (is_enabled (shell, plugins[i]))
-      error = plugins[i]->init (shell);
+    if (is_enabled (runtime, plugins[i]))
+      error = plugins[i]->init (runtime);
   return error;
 }
 
 /* The core and the plug-ins may borrow strings from any settings that were in
- * use, so all of them are kept until ss_shell_finish.
+ * use, so all of them are kept until ss_runtime_finish.
  */
 static void
-keep_settings (SsShell *shell, SsSettings *settings)
+keep_settings (SsRuntime *runtime, SsSettings *settings)
 {
-  if (!shell->reloaded_settings)
-    shell->reloaded_settings = g_ptr_array_new ();
-  g_ptr_array_add (shell->reloaded_settings, settings);
+  if (!runtime->reloaded_settings)
+    runtime->reloaded_settings = g_ptr_array_new ();
+  g_ptr_array_add (runtime->reloaded_settings, settings);
 }
 
 void
-ss_shell_reload (SsShell *shell, const char *path)
+ss_runtime_reload (SsRuntime *runtime, const char *path)
 {
   SsSettings *settings = g_new0 (SsSettings, 1);
   SsLogLevel level = SS_LOG_INFO;
   char *error = ss_settings_init (settings, path);
 
-  keep_settings (shell, settings);
+  keep_settings (runtime, settings);
   if (error)
     {
-      ss_log_write (&shell->log, SS_EVENT_LOG_RELOAD_REFUSED, "subject", path,
+      ss_log_write (&runtime->log, SS_EVENT_LOG_RELOAD_REFUSED, "subject", path,
                     "detail", error, NULL);
       g_free (error);
       return;
     }
-  shell->settings = settings;
+  runtime->settings = settings;
   ss_log_level_parse (settings->log_level, &level);
-  shell->log.min_level = level;
-  shell->log.spans = settings->log_spans != 0;
-  fill_pace (&shell->node.params, settings);
-  ss_log_write (&shell->log, SS_EVENT_LOG_RELOADED, "subject", path, NULL);
+  runtime->log.min_level = level;
+  runtime->log.spans = settings->log_spans != 0;
+  fill_pace (&runtime->node.params, settings);
+  ss_log_write (&runtime->log, SS_EVENT_LOG_RELOADED, "subject", path, NULL);
 }
 
 void
-ss_shell_finish (SsShell *shell)
+ss_runtime_finish (SsRuntime *runtime)
 {
   for (uint32_t i = plugin_count; i > 0; i--)
-    if (is_enabled (shell, plugins[i - 1]))
-      plugins[i - 1]->finish (shell);
-  ev_prepare_stop (shell->loop, &shell->prepare);
-  ev_timer_stop (shell->loop, &shell->tick);
-  ss_node_finish (&shell->node);
+    if (is_enabled (runtime, plugins[i - 1]))
+      plugins[i - 1]->finish (runtime);
+  ev_prepare_stop (runtime->loop, &runtime->prepare);
+  ev_timer_stop (runtime->loop, &runtime->tick);
+  ss_node_finish (&runtime->node);
   for (guint i = 0;
-       shell->reloaded_settings && i < shell->reloaded_settings->len; i++)
+       runtime->reloaded_settings && i < runtime->reloaded_settings->len; i++)
     {
-      SsSettings *settings = g_ptr_array_index (shell->reloaded_settings, i);
+      SsSettings *settings = g_ptr_array_index (runtime->reloaded_settings, i);
 
       ss_settings_finish (settings);
       g_free (settings);
     }
-  if (shell->reloaded_settings)
-    g_ptr_array_free (shell->reloaded_settings, TRUE);
+  if (runtime->reloaded_settings)
+    g_ptr_array_free (runtime->reloaded_settings, TRUE);
 }
--- a/src/kernel/plugin.h
+++ b/src/kernel/plugin.h
@@ -15,7 +15,7 @@
 
 #define SS_PLUGINS_MAX 16
 
-typedef struct SsShell SsShell;
+typedef struct SsRuntime SsRuntime;
 
 /* Protocol of callers and targets; a plug-in for one runs only with it. */
 typedef enum
@@ -33,12 +33,12 @@
   /* Optional: adjusts the core's parameters before it starts. */
   void (*prepare) (const SsSettings *settings, SsNodeParams *params);
   /* Returns NULL on success, else an error message to be freed with g_free. */
-  char *(*init) (SsShell *shell);
-  void (*finish) (SsShell *shell);
-  void (*on_action) (SsShell *shell, SsAction *action);
+  char *(*init) (SsRuntime *runtime);
+  void (*finish) (SsRuntime *runtime);
+  void (*on_action) (SsRuntime *runtime, SsAction *action);
 } SsPlugin;
 
-struct SsShell
+struct SsRuntime
 {
   struct ev_loop *loop;
   const SsClock *clock;
@@ -67,19 +67,19 @@
     ss_plugin_register (&(plugin));                                            \
   }
 
-/* ss_shell_init: starts the core and the plug-ins; returns NULL on success,
- * else an error message to be freed with g_free.  ss_shell_finish is due in
+/* ss_runtime_init: starts the core and the plug-ins; returns NULL on success,
+ * else an error message to be freed with g_free.  ss_runtime_finish is due in
  * either case.
  */
-char *ss_shell_init (SsShell *shell, struct ev_loop *loop, const SsClock *clock,
-                     const SsSettings *settings);
-void ss_shell_finish (SsShell *shell);
-/* ss_shell_reload: reloads the settings from PATH.  Settings that can change at
- * run time take effect at once; invalid settings are logged and ignored.
+char *ss_runtime_init (SsRuntime *runtime, struct ev_loop *loop,
+                       const SsClock *clock, const SsSettings *settings);
+void ss_runtime_finish (SsRuntime *runtime);
+/* ss_runtime_reload: reloads the settings from PATH.  Settings that can change
+ * at run time take effect at once; invalid settings are logged and ignored.
  */
-void ss_shell_reload (SsShell *shell, const char *path);
+void ss_runtime_reload (SsRuntime *runtime, const char *path);
 
-/* ss_shell_event: passes EVENT to the core and carries out its actions. */
-void ss_shell_event (SsShell *shell, const SsEvent *event);
+/* ss_runtime_event: passes EVENT to the core and carries out its actions. */
+void ss_runtime_event (SsRuntime *runtime, const SsEvent *event);
 
 #endif
--- a/src/kernel/settings.c
+++ b/src/kernel/settings.c
@@ -167,7 +167,7 @@
 }
 
 bool
-ss_settings_split (const char *at, char *ip, uint16_t *port)
+ss_settings_parse_address (const char *at, char *ip, uint16_t *port)
 {
   char **parts = g_strsplit (at, ":", 2);
   guint64 number = 0;
@@ -194,7 +194,7 @@
 
   if (!*at)
     return NULL;
-  if (!ss_settings_split (at, text, &port))
+  if (!ss_settings_parse_address (at, text, &port))
     return g_strdup_printf ("%s: %s must be IPv4:PORT, not \"%s\"", path, key,
                             at);
   if (ip)
--- a/src/kernel/settings.h
+++ b/src/kernel/settings.h
@@ -64,10 +64,10 @@
 #undef X
 } SsSettings;
 
-/* ss_settings_split: parses AT, which is IP:PORT; IP has at least
+/* ss_settings_parse_address: parses AT, which is IP:PORT; IP has at least
  * INET_ADDRSTRLEN bytes.  Returns false if AT is malformed.
  */
-bool ss_settings_split (const char *at, char *ip, uint16_t *port);
+bool ss_settings_parse_address (const char *at, char *ip, uint16_t *port);
 
 /* ss_settings_init: reads and validates PATH.
  *
--- a/src/kernel/links.c
+++ b/src/kernel/target_connections.c
@@ -1,4 +1,4 @@
-#include "kernel/links.h"
+#include "kernel/target_connections.h"
 
 #include <string.h>
 
@@ -10,7 +10,7 @@
 }
 
 void
-ss_link_clear (SsTargetLink *link)
+ss_target_connection_clear (SsTargetConnection *link)
 {
   g_clear_pointer (&link->wire, g_byte_array_unref);
   free_cells (link->row, link->row_cells);
@@ -18,28 +18,28 @@
 }
 
 static void
-free_link (SsTargetLink *link)
+free_link (SsTargetConnection *link)
 {
-  SsLinks *links = link->links;
+  SsTargetConnections *links = link->links;
 
-  ev_timer_stop (links->shell->loop, &link->failed);
+  ev_timer_stop (links->runtime->loop, &link->failed);
   g_hash_table_remove (links->by_id, &link->id);
   links->klass->finish (link);
-  ss_link_clear (link);
+  ss_target_connection_clear (link);
   g_free (link);
 }
 
 void
-ss_link_keep_cell (SsTargetLink *link, const char *text)
+ss_target_connection_add_cell (SsTargetConnection *link, const char *text)
 {
-  if (link->row_cells < SS_LINK_CELLS_MAX)
+  if (link->row_cells < SS_TARGET_ROW_CELLS_MAX)
     link->row[link->row_cells++] = g_strdup (text);
 }
 
 static void
 on_failed (struct ev_loop *loop, ev_timer *w, int events)
 {
-  SsTargetLink *link = w->data;
+  SsTargetConnection *link = w->data;
 
   (void) loop;
   (void) events;
@@ -47,39 +47,39 @@
 }
 
 void
-ss_link_fail_soon (SsTargetLink *link)
+ss_target_connection_schedule_failure (SsTargetConnection *link)
 {
-  ev_timer_start (link->links->shell->loop, &link->failed);
+  ev_timer_start (link->links->runtime->loop, &link->failed);
 }
 
 void
-ss_link_ready (SsTargetLink *link)
+ss_target_connection_ready (SsTargetConnection *link)
 {
   SsEvent e = { .kind = SS_EVENT_TARGET_READY };
 
   e.target.connection = link->id;
-  ss_shell_event (link->links->shell, &e);
+  ss_runtime_event (link->links->runtime, &e);
 }
 
 void
-ss_link_closed (SsTargetLink *link, SsEvent *event)
+ss_target_connection_closed (SsTargetConnection *link, SsEvent *event)
 {
-  SsShell *shell = link->links->shell;
+  SsRuntime *runtime = link->links->runtime;
 
   event->kind = SS_EVENT_TARGET_CLOSED;
   event->target.connection = link->id;
   free_link (link);
-  ss_shell_event (shell, event);
+  ss_runtime_event (runtime, event);
 }
 
 /* The core may send the next query while it handles this result, so the
  * response is moved out of the connection first.
  */
 void
-ss_link_result (SsTargetLink *link, SsTargetResult *result)
+ss_target_connection_result (SsTargetConnection *link, SsTargetResult *result)
 {
   SsEvent e = { .kind = SS_EVENT_TARGET_RESULT };
-  char *row[SS_LINK_CELLS_MAX];
+  char *row[SS_TARGET_ROW_CELLS_MAX];
   uint32_t cells = link->row_cells;
   GByteArray *wire = g_steal_pointer (&link->wire);
 
@@ -91,15 +91,15 @@
   result->row_cells = cells;
   e.target_result.connection = link->id;
   e.target_result.result = result;
-  ss_shell_event (link->links->shell, &e);
+  ss_runtime_event (link->links->runtime, &e);
   free_cells (row, cells);
   g_bytes_unref (result->wire);
 }
 
 static void
-start (SsLinks *links, const SsAction *a)
+start (SsTargetConnections *links, const SsAction *a)
 {
-  SsTargetLink *link = g_malloc0 (links->klass->link_bytes);
+  SsTargetConnection *link = g_malloc0 (links->klass->connection_bytes);
 
   link->links = links;
   link->id = a->id;
@@ -110,23 +110,24 @@
 }
 
 static void
-query (SsTargetLink *link, const SsAction *a)
+query (SsTargetConnection *link, const SsAction *a)
 {
-  ss_link_clear (link);
+  ss_target_connection_clear (link);
   link->want_row = a->want_row;
   link->links->klass->query (link, a);
 }
 
-SsTargetLink *
-ss_links_find (const SsLinks *links, uint64_t id)
+SsTargetConnection *
+ss_target_connections_find (const SsTargetConnections *links, uint64_t id)
 {
   return g_hash_table_lookup (links->by_id, &id);
 }
 
 void
-ss_links_action (SsLinks *links, const SsAction *action)
+ss_target_connections_action (SsTargetConnections *links,
+                              const SsAction *action)
 {
-  SsTargetLink *link = ss_links_find (links, action->id);
+  SsTargetConnection *link = ss_target_connections_find (links, action->id);
 
   if (action->kind == SS_ACTION_TARGET_CONNECT)
     start (links, action);
@@ -137,15 +138,17 @@
 }
 
 void
-ss_links_init (SsLinks *links, const SsLinksClass *klass, SsShell *shell)
+ss_target_connections_init (SsTargetConnections *links,
+                            const SsTargetConnectionsClass *klass,
+                            SsRuntime *runtime)
 {
   links->klass = klass;
-  links->shell = shell;
+  links->runtime = runtime;
   links->by_id = g_hash_table_new (g_int64_hash, g_int64_equal);
 }
 
 void
-ss_links_finish (SsLinks *links)
+ss_target_connections_finish (SsTargetConnections *links)
 {
   GList *all;
 
--- a/src/plugins/admin_http.c
+++ b/src/plugins/admin_http.c
@@ -11,7 +11,7 @@
 static struct
 {
   SsHttpd httpd; /* first: handlers cast to this struct */
-  SsShell *shell;
+  SsRuntime *runtime;
   bool open;
   char *token;         /* NULL: commands that change state are refused */
   GHashTable *waiting; /* id -> SsHttpRequest */
@@ -77,7 +77,7 @@
   e.operator_command.may_change = may_change (r);
   r->data = GSIZE_TO_POINTER (admin.next_id);
   g_hash_table_insert (admin.waiting, r->data, r);
-  ss_shell_event (admin.shell, &e);
+  ss_runtime_event (admin.runtime, &e);
   g_free (text);
 }
 
@@ -87,15 +87,15 @@
   (void) httpd;
   if (strcmp (r->path, "/metrics") == 0)
     {
-      char *text = metrics_text (&admin.shell->node.counters);
+      char *text = metrics_text (&admin.runtime->node.counters);
 
       ss_http_reply (r, 200, METRICS_TYPE, text);
       g_free (text);
     }
   else if (strcmp (r->path, "/v1/health") == 0)
-    ss_http_reply (r, admin.shell->node.ready ? 200 : 503, JSON_TYPE,
-                   admin.shell->node.ready ? "{\"ready\":true}"
-                                           : "{\"ready\":false}");
+    ss_http_reply (r, admin.runtime->node.ready ? 200 : 503, JSON_TYPE,
+                   admin.runtime->node.ready ? "{\"ready\":true}"
+                                             : "{\"ready\":false}");
   else if (strcmp (r->path, "/v1/command") == 0)
     handle_command (r);
   else
@@ -103,7 +103,7 @@
 }
 
 static void
-on_gone (SsHttpd *httpd, SsHttpRequest *r)
+on_disconnect (SsHttpd *httpd, SsHttpRequest *r)
 {
   (void) httpd;
   if (r->data)
@@ -111,13 +111,13 @@
 }
 
 static void
-on_action (SsShell *shell, SsAction *a)
+on_action (SsRuntime *runtime, SsAction *a)
 {
   static const int32_t statuses[] = { 409, 504, 200 }; /* by verdict */
   gpointer id = GSIZE_TO_POINTER (a->id);
   SsHttpRequest *r = g_hash_table_lookup (admin.waiting, id);
 
-  (void) shell;
+  (void) runtime;
   if (!r)
     return;
   g_hash_table_remove (admin.waiting, id);
@@ -145,20 +145,21 @@
 }
 
 static char *
-init (SsShell *shell)
+init (SsRuntime *runtime)
 {
-  static const SsHttpdClass klass = { handle, on_gone };
-  char *error = read_token (shell->settings->admin_token_file);
+  static const SsHttpdClass klass = { handle, on_disconnect };
+  char *error = read_token (runtime->settings->admin_token_file);
 
   if (error)
     return error;
-  admin.shell = shell;
+  admin.runtime = runtime;
   admin.waiting = g_hash_table_new (NULL, NULL);
-  if (!ss_httpd_init (&admin.httpd, &klass, shell->loop, shell->settings->ip,
-                      (uint16_t) shell->settings->admin_port))
+  if (!ss_httpd_init (&admin.httpd, &klass, runtime->loop,
+                      runtime->settings->ip,
+                      (uint16_t) runtime->settings->admin_port))
     return g_strdup_printf ("can't listen for operators on %s:%d",
-                            shell->settings->ip,
-                            (int) shell->settings->admin_port);
+                            runtime->settings->ip,
+                            (int) runtime->settings->admin_port);
   admin.open = true;
   return NULL;
 }
@@ -174,9 +175,9 @@
 }
 
 static void
-finish (SsShell *shell)
+finish (SsRuntime *runtime)
 {
-  (void) shell;
+  (void) runtime;
   if (!admin.open)
     return;
   g_hash_table_foreach (admin.waiting, answer_stopping, NULL);
--- a/src/plugins/peer.c
+++ b/src/plugins/peer.c
@@ -38,7 +38,7 @@
 
 static struct
 {
-  SsShell *shell;
+  SsRuntime *runtime;
   ev_io accept_io;
   ev_prepare flush;
   GPtrArray *unflushed; /* of Outbound: have output to send */
@@ -49,7 +49,7 @@
 static int64_t
 now_ms (void)
 {
-  return ss_clock_now_ms (peers.shell->clock);
+  return ss_clock_now_ms (peers.runtime->clock);
 }
 
 static void
@@ -58,10 +58,10 @@
   SsEvent e = { .kind = SS_EVENT_PEER_LOST };
   char *copy = g_strdup (vm);
 
-  ss_log_write (&peers.shell->log, SS_EVENT_LOG_PEER_CLOSED, "subject", vm,
+  ss_log_write (&peers.runtime->log, SS_EVENT_LOG_PEER_CLOSED, "subject", vm,
                 NULL);
   e.peer_lost.vm = copy;
-  ss_shell_event (peers.shell, &e);
+  ss_runtime_event (peers.runtime, &e);
   g_free (copy);
 }
 
@@ -100,7 +100,7 @@
     }
   e.peer_message.data = data;
   e.peer_message.data_bytes = bytes;
-  ss_shell_event (peers.shell, &e);
+  ss_runtime_event (peers.runtime, &e);
 }
 
 static void
@@ -199,19 +199,19 @@
 {
   static const SsStreamClass klass
       = { on_unexpected, on_outbound_closed, on_connected };
-  int fd = ss_stream_connect (peers.shell->settings->ip, out->ip, out->port);
+  int fd = ss_stream_connect (peers.runtime->settings->ip, out->ip, out->port);
 
   if (fd < 0)
     {
       out->dial_after_ms = now_ms () + REDIAL_MS;
       return;
     }
-  ss_stream_init (&out->stream, &klass, peers.shell->loop, fd, true);
+  ss_stream_init (&out->stream, &klass, peers.runtime->loop, fd, true);
   out->open = true;
   out->connected = false;
   out->dialled_ms = now_ms ();
-  put_frame (out, peers.shell->settings->vm_name,
-             (uint32_t) strlen (peers.shell->settings->vm_name));
+  put_frame (out, peers.runtime->settings->vm_name,
+             (uint32_t) strlen (peers.runtime->settings->vm_name));
 }
 
 static void
@@ -289,9 +289,9 @@
 }
 
 static void
-on_action (SsShell *shell, SsAction *a)
+on_action (SsRuntime *runtime, SsAction *a)
 {
-  (void) shell;
+  (void) runtime;
   if (a->kind == SS_ACTION_PEER_SEND)
     send_message (a);
   else
@@ -299,34 +299,34 @@
 }
 
 static char *
-init (SsShell *shell)
+init (SsRuntime *runtime)
 {
-  int fd = ss_stream_listen (shell->settings->ip,
-                             (uint16_t) shell->settings->peer_port);
+  int fd = ss_stream_listen (runtime->settings->ip,
+                             (uint16_t) runtime->settings->peer_port);
 
-  peers.shell = shell;
+  peers.runtime = runtime;
   if (fd < 0)
     return g_strdup_printf (
-        "can't listen for peers on %s:%d: %s", shell->settings->ip,
-        (int) shell->settings->peer_port, g_strerror (errno));
+        "can't listen for peers on %s:%d: %s", runtime->settings->ip,
+        (int) runtime->settings->peer_port, g_strerror (errno));
   peers.outbound
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_outbound);
   peers.inbound = g_hash_table_new_full (NULL, NULL, free_inbound, NULL);
   peers.unflushed = g_ptr_array_new ();
   ev_prepare_init (&peers.flush, on_flush);
-  ev_prepare_start (shell->loop, &peers.flush);
+  ev_prepare_start (runtime->loop, &peers.flush);
   ev_io_init (&peers.accept_io, on_accept, fd, EV_READ);
-  ev_io_start (shell->loop, &peers.accept_io);
+  ev_io_start (runtime->loop, &peers.accept_io);
   return NULL;
 }
 
 static void
-finish (SsShell *shell)
+finish (SsRuntime *runtime)
 {
   if (!peers.outbound)
     return;
-  ev_io_stop (shell->loop, &peers.accept_io);
-  ev_prepare_stop (shell->loop, &peers.flush);
+  ev_io_stop (runtime->loop, &peers.accept_io);
+  ev_prepare_stop (runtime->loop, &peers.flush);
   g_hash_table_destroy (peers.outbound);
   g_hash_table_destroy (peers.inbound);
   g_ptr_array_free (peers.unflushed, TRUE);
--- a/src/plugins/pgserver.c
+++ b/src/plugins/pgserver.c
@@ -26,17 +26,17 @@
 static void
 refuse (Caller *c, const char *sqlstate, const char *message)
 {
-  ss_log_write (&callers.shell->log, SS_EVENT_LOG_CALLER_REFUSED, "subject",
+  ss_log_write (&callers.runtime->log, SS_EVENT_LOG_CALLER_REFUSED, "subject",
                 sqlstate, "detail", message, NULL);
   ss_pgwire_error (out (c), "FATAL", sqlstate, message, NULL, NULL);
-  ss_caller_end (&c->base);
+  ss_caller_close_and_notify (&c->base);
 }
 
 static void
 send_ready (Caller *c)
 {
   ss_pgwire_ready (out (c), c->base.status);
-  ss_caller_rest (&c->base);
+  ss_caller_set_idle (&c->base);
 }
 
 static void
@@ -104,7 +104,7 @@
   SsEvent e = { .kind = SS_EVENT_CALLER_OPEN };
   Settings settings;
 
-  if (ss_callers_is_over (&callers))
+  if (ss_callers_is_over_limit (&callers))
     {
       refuse (c, "53300", "too many callers on this vm");
       return;
@@ -115,7 +115,7 @@
   e.caller_open.service = database ? database : (user ? user : "");
   e.caller_open.user = user ? user : "";
   e.caller_open.settings = settings.pairs;
-  ss_shell_event (callers.shell, &e);
+  ss_runtime_event (callers.runtime, &e);
   for (uint32_t i = 0; i < settings.count; i++)
     g_free (settings.copies[i]);
 }
@@ -136,7 +136,7 @@
           || c->secret != m->cancel_secret)
         continue;
       e.caller.caller = c->base.id;
-      ss_shell_event (callers.shell, &e);
+      ss_runtime_event (callers.runtime, &e);
       return;
     }
 }
@@ -149,7 +149,7 @@
   c->base.state = SS_CALLER_BUSY;
   e.caller_statement.caller = c->base.id;
   e.caller_statement.sql = m->text;
-  ss_shell_event (callers.shell, &e);
+  ss_runtime_event (callers.runtime, &e);
 }
 
 static void
@@ -187,7 +187,7 @@
       send_ready (c);
       break;
     case SS_PGWIRE_TERMINATE:
-      ss_caller_end (&c->base);
+      ss_caller_close_and_notify (&c->base);
       break;
     default:
       break;
@@ -243,7 +243,7 @@
 }
 
 static void
-on_overdue (SsCaller *caller)
+on_timeout (SsCaller *caller)
 {
   refuse ((Caller *) caller, "57P05", "idle for too long");
 }
@@ -326,15 +326,15 @@
   else
     put_failure (c, a, "ERROR");
   send_ready (c);
-  ss_caller_answered (&c->base);
+  ss_caller_resume (&c->base);
 }
 
 static void
-on_action (SsShell *shell, SsAction *a)
+on_action (SsRuntime *runtime, SsAction *a)
 {
   Caller *c = (Caller *) ss_callers_find (&callers, a->id);
 
-  (void) shell;
+  (void) runtime;
   if (!c)
     return;
   switch (a->kind)
@@ -364,18 +364,18 @@
         .pending_input_max_bytes = 2 * SS_PGWIRE_MESSAGE_MAX_BYTES,
         .take_message = take_message,
         .on_accept = on_accept,
-        .on_overdue = on_overdue };
+        .on_timeout = on_timeout };
 
 static char *
-init (SsShell *shell)
+init (SsRuntime *runtime)
 {
-  return ss_callers_init (&callers, &callers_class, shell);
+  return ss_callers_init (&callers, &callers_class, runtime);
 }
 
 static void
-finish (SsShell *shell)
+finish (SsRuntime *runtime)
 {
-  (void) shell;
+  (void) runtime;
   ss_callers_finish (&callers);
 }
 
--- a/src/plugins/platform_http.c
+++ b/src/plugins/platform_http.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "kernel/outcome.h"
+#include "kernel/http_outcome.h"
 #include "kernel/plugin.h"
 
 #define CALL_TIMEOUT_MS 1500
@@ -22,7 +22,7 @@
 
 static struct
 {
-  SsShell *shell;
+  SsRuntime *runtime;
   SsHttpc client;
 } platform;
 
@@ -70,7 +70,7 @@
       = json_integer_value (json_object_get (json, "revision"));
   e.platform_objects.objects = objects;
   e.platform_objects.object_count = valid_count;
-  ss_shell_event (platform.shell, &e);
+  ss_runtime_event (platform.runtime, &e);
   for (uint32_t i = 0; i <= count; i++)
     free (texts[i]);
   g_free (texts);
@@ -98,7 +98,7 @@
         e.platform_object.outcome = SS_PLATFORM_UNKNOWN;
     }
   object->key = call->key;
-  ss_shell_event (platform.shell, &e);
+  ss_runtime_event (platform.runtime, &e);
   free (text);
 }
 
@@ -112,7 +112,7 @@
       e.platform_vms.json = (const char *) call->http.answer->data;
       e.platform_vms.json_bytes = call->http.answer->len;
     }
-  ss_shell_event (platform.shell, &e);
+  ss_runtime_event (platform.runtime, &e);
 }
 
 static void
@@ -127,9 +127,9 @@
 
   g_snprintf (detail, sizeof detail,
               "hop=platform ms=%" G_GINT64_FORMAT " outcome=%s",
-              ss_clock_now_ms (platform.shell->clock) - call->started_ms,
+              ss_clock_now_ms (platform.runtime->clock) - call->started_ms,
               outcomes[outcome]);
-  ss_log_write (&platform.shell->log, SS_EVENT_LOG_SPAN, "subject",
+  ss_log_write (&platform.runtime->log, SS_EVENT_LOG_SPAN, "subject",
                 call->key ? call->key : "watch", "detail", detail, NULL);
 }
 
@@ -145,7 +145,7 @@
     outcome = SS_PLATFORM_UNKNOWN;
   log_span (call, outcome);
   if (outcome != SS_PLATFORM_DONE)
-    platform.shell->node.counters.values[SS_COUNTER_PLATFORM_ERRORS]++;
+    platform.runtime->node.counters.values[SS_COUNTER_PLATFORM_ERRORS]++;
   if (call->kind == SS_ACTION_PLATFORM_WATCH)
     report_watch (call, outcome, json);
   else if (call->kind == SS_ACTION_PLATFORM_VMS)
@@ -178,7 +178,7 @@
 static char *
 call_url (const SsAction *a)
 {
-  const SsSettings *s = platform.shell->settings;
+  const SsSettings *s = platform.runtime->settings;
   char *path = call_path (a);
   char *url = g_strdup_printf ("http://%s:%d/%s", s->platform_ip,
                                (int) s->platform_port, path);
@@ -188,7 +188,7 @@
 }
 
 static void
-on_action (SsShell *shell, SsAction *a)
+on_action (SsRuntime *runtime, SsAction *a)
 {
   Call *call = g_new0 (Call, 1);
   bool is_watch = a->kind == SS_ACTION_PLATFORM_WATCH;
@@ -199,29 +199,29 @@
   call->id = a->id;
   call->since = a->number;
   call->key = g_strdup (a->name);
-  call->started_ms = ss_clock_now_ms (shell->clock);
+  call->started_ms = ss_clock_now_ms (runtime->clock);
   call->http.on_done = finish_call;
   call->http.on_free = free_call;
   call->http.body = is_put ? g_strdup (a->text) : NULL;
-  shell->node.counters.values[SS_COUNTER_PLATFORM_CALLS]++;
+  runtime->node.counters.values[SS_COUNTER_PLATFORM_CALLS]++;
   ss_http_call_start (&platform.client, &call->http, is_put ? "PUT" : "GET",
                       url, is_watch ? WATCH_TIMEOUT_MS : CALL_TIMEOUT_MS);
   g_free (url);
 }
 
 static char *
-init (SsShell *shell)
+init (SsRuntime *runtime)
 {
-  platform.shell = shell;
-  if (!ss_httpc_init (&platform.client, shell->loop, shell->settings->ip))
+  platform.runtime = runtime;
+  if (!ss_httpc_init (&platform.client, runtime->loop, runtime->settings->ip))
     return g_strdup ("can't initialise libcurl");
   return NULL;
 }
 
 static void
-finish (SsShell *shell)
+finish (SsRuntime *runtime)
 {
-  (void) shell;
+  (void) runtime;
   ss_httpc_finish (&platform.client);
 }
 
--- a/src/plugins/pqtarget.c
+++ b/src/plugins/pqtarget.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "kernel/links.h"
+#include "kernel/target_connections.h"
 #include "plugins/pgwire.h"
 
 #define WIRE_MAX_BYTES (8 * 1024 * 1024)
@@ -13,7 +13,7 @@
 
 typedef struct
 {
-  SsTargetLink link; /* first: callbacks cast to this struct */
+  SsTargetConnection link; /* first: callbacks cast to this struct */
   PGconn *pq;
   ev_io io;
   bool ready;
@@ -27,14 +27,14 @@
   SsPosition commit; /* the last commit position that was reported */
 } TargetConnection;
 
-static SsLinks links;
+static SsTargetConnections links;
 
 static void
-finish_link (SsTargetLink *link)
+finish_link (SsTargetConnection *link)
 {
   TargetConnection *t = (TargetConnection *) link;
 
-  ev_io_stop (links.shell->loop, &t->io);
+  ev_io_stop (links.runtime->loop, &t->io);
   g_free (t->tag);
   PQfinish (t->pq);
 }
@@ -49,8 +49,8 @@
   e.target.refused
       = starting && strstr (message, strerror (ECONNREFUSED)) != NULL;
   if (starting && strstr (message, "too many clients"))
-    e.target.sqlstate = SS_LINK_TOO_MANY;
-  ss_link_closed (&t->link, &e);
+    e.target.sqlstate = SS_SQLSTATE_TOO_MANY_CONNECTIONS;
+  ss_target_connection_closed (&t->link, &e);
 }
 
 static void
@@ -59,9 +59,9 @@
   if (ev_is_active (&t->io) && t->io.events == events
       && t->io.fd == PQsocket (t->pq) && t->ready)
     return;
-  ev_io_stop (links.shell->loop, &t->io);
+  ev_io_stop (links.runtime->loop, &t->io);
   ev_io_set (&t->io, PQsocket (t->pq), events);
-  ev_io_start (links.shell->loop, &t->io);
+  ev_io_start (links.runtime->loop, &t->io);
 }
 
 /* --- answers --- */
@@ -110,7 +110,7 @@
   if (PQntuples (r) < 1)
     return;
   for (int i = 0; i < PQnfields (r); i++)
-    ss_link_keep_cell (&t->link, PQgetvalue (r, 0, i));
+    ss_target_connection_add_cell (&t->link, PQgetvalue (r, 0, i));
 }
 
 static void
@@ -202,7 +202,7 @@
     result.commit = commit;
   t->commit = commit;
   t->busy = false;
-  ss_link_result (&t->link, &result);
+  ss_target_connection_result (&t->link, &result);
   g_free (tag);
 }
 
@@ -258,7 +258,7 @@
       t->ready = true;
       PQsetnonblocking (t->pq, 1);
       set_io_events (t, EV_READ);
-      ss_link_ready (&t->link);
+      ss_target_connection_ready (&t->link);
       break;
     default:
       report_closed (t);
@@ -286,13 +286,13 @@
 /* --- actions --- */
 
 static void
-on_failed (SsTargetLink *link)
+on_failed (SsTargetConnection *link)
 {
   report_closed ((TargetConnection *) link);
 }
 
 static void
-start_link (SsTargetLink *link, const SsAction *a)
+start_link (SsTargetConnection *link, const SsAction *a)
 {
   TargetConnection *t = (TargetConnection *) link;
   char *conninfo = g_strdup_printf (
@@ -305,13 +305,13 @@
   ev_io_init (&t->io, on_io, -1, EV_READ);
   t->io.data = t;
   if (PQstatus (t->pq) == CONNECTION_BAD)
-    ss_link_fail_soon (link);
+    ss_target_connection_schedule_failure (link);
   else
     set_io_events (t, EV_WRITE);
 }
 
 static void
-query_link (SsTargetLink *link, const SsAction *a)
+query_link (SsTargetConnection *link, const SsAction *a)
 {
   TargetConnection *t = (TargetConnection *) link;
 
@@ -325,36 +325,37 @@
   if (PQsendQuery (t->pq, a->text))
     flush (t);
   else
-    ss_link_fail_soon (link);
+    ss_target_connection_schedule_failure (link);
 }
 
-static const SsLinksClass klass = { sizeof (TargetConnection), start_link,
-                                    query_link, on_failed, finish_link };
+static const SsTargetConnectionsClass klass
+    = { sizeof (TargetConnection), start_link, query_link, on_failed,
+        finish_link };
 
 static void
-on_action (SsShell *shell, SsAction *a)
+on_action (SsRuntime *runtime, SsAction *a)
 {
-  (void) shell;
-  ss_links_action (&links, a);
+  (void) runtime;
+  ss_target_connections_action (&links, a);
 }
 
 static char *
-init (SsShell *shell)
+init (SsRuntime *runtime)
 {
-  ss_links_init (&links, &klass, shell);
+  ss_target_connections_init (&links, &klass, runtime);
   return NULL;
 }
 
 static void
-finish (SsShell *shell)
+finish (SsRuntime *runtime)
 {
-  (void) shell;
-  ss_links_finish (&links);
+  (void) runtime;
+  ss_target_connections_finish (&links);
 }
 
 static const SsPlugin plugin = { .name = "pqtarget",
                                  .interface = SS_INTERFACE_POSTGRESQL,
-                                 .handles = SS_LINKS_HANDLES,
+                                 .handles = SS_TARGET_CONNECTIONS_HANDLES,
                                  .init = init,
                                  .finish = finish,
                                  .on_action = on_action };
--- a/standin/link.c
+++ b/standin/log_receiver.c
@@ -1,4 +1,4 @@
-#include "standin/link.h"
+#include "standin/log_receiver.h"
 
 #include <string.h>
 
@@ -28,8 +28,8 @@
   g_snprintf (sql, sizeof sql,
               "SELECT * FROM sapphirestair_log(%" G_GUINT64_FORMAT
               ", %" G_GUINT64_FORMAT ", %" G_GUINT64_FORMAT ", %d, %d)",
-              s->follow_term, s->first_wanted,
-              ss_store_term_at (&s->store, s->first_wanted), LOG_BATCH,
+              s->follow_term, s->fetch_after,
+              ss_store_term_at (&s->store, s->fetch_after), LOG_BATCH,
               LOG_WAIT_MS);
   if (PQsendQuery (receiver->pq, sql))
     PQflush (receiver->pq);
@@ -56,8 +56,8 @@
       terms[i - 1] = g_ascii_strtoull (PQgetvalue (r, i, 0), NULL, 10);
       payloads[i - 1] = PQgetvalue (r, i, 1);
     }
-  ss_server_take_log (receiver->server, PQgetvalue (r, 0, 0), terms, payloads,
-                      (uint32_t) rows - 1);
+  ss_server_handle_log (receiver->server, PQgetvalue (r, 0, 0), terms, payloads,
+                        (uint32_t) rows - 1);
   g_free (terms);
   g_free (payloads);
 }
@@ -87,7 +87,7 @@
 is_current (const SsLogReceiver *receiver)
 {
   return receiver->generation == receiver->server->replication_generation
-         && ss_server_wants_log (receiver->server);
+         && ss_server_is_following (receiver->server);
 }
 
 static void
@@ -174,9 +174,9 @@
       receiver->due_ms = now_ms;
     }
   if (receiver->pq && now_ms > receiver->due_ms
-      && now_ms - receiver->server->heard_ms > RESPONSE_TIMEOUT_MS)
+      && now_ms - receiver->server->last_response_ms > RESPONSE_TIMEOUT_MS)
     disconnect (receiver);
-  if (!receiver->pq && ss_server_wants_log (receiver->server)
+  if (!receiver->pq && ss_server_is_following (receiver->server)
       && now_ms >= receiver->due_ms)
     connect_to_primary (receiver);
 }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -14,7 +14,7 @@
 #include <string.h>
 
 #include "kernel/httpd.h"
-#include "kernel/names.h"
+#include "kernel/compare.h"
 
 #define JSON_TYPE "application/json"
 #define TICK_S 0.005
@@ -298,7 +298,7 @@
 }
 
 static void
-on_gone (SsHttpd *httpd, SsHttpRequest *r)
+on_disconnect (SsHttpd *httpd, SsHttpRequest *r)
 {
   Platform *p = (Platform *) (void *) httpd;
 
@@ -355,7 +355,7 @@
 int
 main (int argc, char **argv)
 {
-  static const SsHttpdClass klass = { handle, on_gone };
+  static const SsHttpdClass klass = { handle, on_disconnect };
   static Platform platform;
   static ev_signal on_term;
   static ev_signal on_int;
@@ -367,7 +367,7 @@
       return 2;
     }
   p->loop = ev_default_loop (0);
-  p->objects = g_tree_new_full (ss_names_compare, NULL, g_free, object_free);
+  p->objects = g_tree_new_full (ss_compare_strings, NULL, g_free, object_free);
   p->pending_requests = g_ptr_array_new_with_free_func (g_free);
   p->partitioned_ips
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
--- a/standin/server.c
+++ b/standin/server.c
@@ -47,7 +47,7 @@
   server->role = SS_ROLE_REPLICA;
   server->max_connections = 20;
   server->connect_ms = 10;
-  server->heard_ms = ss_server_now_ms (server);
+  server->last_response_ms = ss_server_now_ms (server);
   ss_store_init (&server->store, data_path);
   if (data_path)
     load_term (server, data_path);
@@ -106,7 +106,7 @@
   server->role = SS_ROLE_PRIMARY;
   g_clear_pointer (&server->upstream, g_free);
   ss_store_append (&server->store, term, "", ss_server_now_ms (server));
-  ss_store_apply_to (&server->store, ss_store_held (&server->store));
+  ss_store_apply_to (&server->store, ss_store_last_position (&server->store));
   return true;
 }
 
@@ -122,7 +122,7 @@
   server->upstream = g_strdup_printf ("%s %s", ip, port);
   server->follow_term = term;
   server->role = SS_ROLE_REPLICA;
-  server->first_wanted = ss_store_held (&server->store);
+  server->fetch_after = ss_store_last_position (&server->store);
   server->replication_generation++;
   return true;
 }
@@ -138,7 +138,7 @@
 static void
 apply_due (SsServer *s, int64_t now_ms)
 {
-  while (s->store.applied < ss_store_held (&s->store))
+  while (s->store.applied < ss_store_last_position (&s->store))
     {
       const SsLogEntry *e = ss_store_entry (&s->store, s->store.applied + 1);
 
@@ -156,30 +156,31 @@
 }
 
 void
-ss_server_take_log (SsServer *server, const char *outcome,
-                    const uint64_t *terms, const char *const *payloads,
-                    uint32_t count)
+ss_server_handle_log (SsServer *server, const char *outcome,
+                      const uint64_t *terms, const char *const *payloads,
+                      uint32_t count)
 {
   /* The server that responded is not the primary of the followed term.  This is
-   * no response of the primary, so heard_ms stays.
+   * no response of the primary, so last_response_ms stays.
    */
   if (strcmp (outcome, "refused") == 0)
     return;
-  server->heard_ms = ss_server_now_ms (server);
+  server->last_response_ms = ss_server_now_ms (server);
   if (strcmp (outcome, "mismatch") == 0)
     {
-      if (server->first_wanted > 0)
-        server->first_wanted--;
+      if (server->fetch_after > 0)
+        server->fetch_after--;
       return;
     }
-  ss_store_truncate (&server->store, server->first_wanted);
+  ss_store_truncate (&server->store, server->fetch_after);
   for (uint32_t i = 0; i < count; i++)
-    ss_store_append (&server->store, terms[i], payloads[i], server->heard_ms);
-  server->first_wanted = ss_store_held (&server->store);
+    ss_store_append (&server->store, terms[i], payloads[i],
+                     server->last_response_ms);
+  server->fetch_after = ss_store_last_position (&server->store);
 }
 
 bool
-ss_server_wants_log (const SsServer *server)
+ss_server_is_following (const SsServer *server)
 {
   return server->role == SS_ROLE_REPLICA && server->upstream
          && !server->partitioned && server->shown_term == server->follow_term;
--- a/standin/server.h
+++ b/standin/server.h
@@ -40,14 +40,14 @@
   const SsClock *clock;
   SsStore store;
   SsRole role;
-  uint64_t shown_term;  /* highest term received */
-  uint64_t follow_term; /* term of the primary that it follows */
-  char *upstream;       /* "IP PORT" of the primary, or NULL */
-  int64_t heard_ms;     /* time of the primary's last response */
+  uint64_t shown_term;      /* highest term received */
+  uint64_t follow_term;     /* term of the primary that it follows */
+  char *upstream;           /* "IP PORT" of the primary, or NULL */
+  int64_t last_response_ms; /* time of the primary's last response */
   /* Position after which the log is requested; moves back while the common
    * prefix of both logs is searched.
    */
-  uint64_t first_wanted;
+  uint64_t fetch_after;
   /* Incremented when the log receiver has to reconnect. */
   uint64_t replication_generation;
   GPtrArray *sessions; /* of SsSqlSession */
@@ -100,16 +100,16 @@
 /* ss_server_tick: applies log entries whose apply lag has passed. */
 void ss_server_tick (SsServer *server);
 
-/* ss_server_wants_log: returns whether the server is a replica of the primary
- * of the highest received term and is not partitioned.
+/* ss_server_is_following: returns whether the server is a replica of the
+ * primary of the highest received term and is not partitioned.
  */
-bool ss_server_wants_log (const SsServer *server);
-/* ss_server_take_log: handles the primary's response to a request for the log
- * after server->first_wanted.  OUTCOME is "ok", "mismatch" if the terms at that
+bool ss_server_is_following (const SsServer *server);
+/* ss_server_handle_log: handles the primary's response to a request for the log
+ * after server->fetch_after.  OUTCOME is "ok", "mismatch" if the terms at that
  * position differ, or "refused".  TERMS and PAYLOADS hold COUNT entries.
  */
-void ss_server_take_log (SsServer *server, const char *outcome,
-                         const uint64_t *terms, const char *const *payloads,
-                         uint32_t count);
+void ss_server_handle_log (SsServer *server, const char *outcome,
+                           const uint64_t *terms, const char *const *payloads,
+                           uint32_t count);
 
 #endif
--- a/standin/session.c
+++ b/standin/session.c
@@ -231,7 +231,7 @@
 static uint64_t
 reported_applied (const SsServer *s)
 {
-  return s->defect == SS_DEFECT_APPLIED ? ss_store_held (&s->store)
+  return s->defect == SS_DEFECT_APPLIED ? ss_store_last_position (&s->store)
                                         : s->store.applied;
 }
 
@@ -249,11 +249,11 @@
   char *history = ss_store_history (store);
 
   numbers[0] = s->shown_term;
-  numbers[1] = ss_store_term_at (store, ss_store_held (store));
-  numbers[2] = ss_store_held (store);
+  numbers[1] = ss_store_term_at (store, ss_store_last_position (store));
+  numbers[2] = ss_store_last_position (store);
   numbers[3] = ss_store_term_at (store, reported_applied (s));
   numbers[4] = reported_applied (s);
-  numbers[5] = (uint64_t) (ss_server_now_ms (s) - s->heard_ms);
+  numbers[5] = (uint64_t) (ss_server_now_ms (s) - s->last_response_ms);
   numbers[6] = s->follow_term;
   cells[0] = ss_server_role_name (s);
   for (uint32_t i = 0; i < 7; i++)
@@ -317,15 +317,15 @@
     return false;
   if (!is_current)
     cells[0] = "refused";
-  else if (c->log_position > ss_store_held (store)
+  else if (c->log_position > ss_store_last_position (store)
            || ss_store_term_at (store, c->log_position) != c->log_term)
     cells[0] = "mismatch";
-  else if (c->log_position == ss_store_held (store) && !expired)
+  else if (c->log_position == ss_store_last_position (store) && !expired)
     return false;
   ss_pgwire_text_columns (out (c), names, 2);
   put_row (c, cells, 2);
   for (uint64_t p = c->log_position + 1;
-       cells[0][0] == 'o' && p <= ss_store_held (store)
+       cells[0][0] == 'o' && p <= ss_store_last_position (store)
        && p <= c->log_position + 500;
        p++)
     {
@@ -401,7 +401,7 @@
   position = ss_store_append (&s->store, s->shown_term, payload,
                               ss_server_now_ms (s));
   ss_store_apply_to (&s->store, position);
-  c->committed = position;
+  c->commit_position = position;
   c->unreported_commit = position;
   g_free (payload);
   g_ptr_array_set_size (c->ops, 0);
@@ -546,7 +546,7 @@
   c->failed = false;
   c->sqlstate[0] = 0;
   c->tag[0] = 0;
-  c->committed = 0;
+  c->commit_position = 0;
 }
 
 void
--- a/standin/session.h
+++ b/standin/session.h
@@ -36,7 +36,7 @@
   char tag[32];
   char *row[SS_SQL_SESSION_CELLS_MAX]; /* first row */
   uint32_t row_cells;
-  uint64_t committed; /* position of the last message's commit; 0: none */
+  uint64_t commit_position; /* position of the last message's commit; 0: none */
 } SsSqlSession;
 
 void ss_sql_session_init (SsSqlSession *session, SsServer *server);
--- a/standin/store.c
+++ b/standin/store.c
@@ -145,7 +145,7 @@
   if (!path)
     return;
   load_file (store, path);
-  ss_store_apply_to (store, ss_store_held (store));
+  ss_store_apply_to (store, ss_store_last_position (store));
   store->file = fopen (path, "a");
 }
 
@@ -159,7 +159,7 @@
 }
 
 uint64_t
-ss_store_held (const SsStore *store)
+ss_store_last_position (const SsStore *store)
 {
   return store->entries->len;
 }
@@ -173,7 +173,7 @@
 uint64_t
 ss_store_term_at (const SsStore *store, uint64_t position)
 {
-  if (position == 0 || position > ss_store_held (store))
+  if (position == 0 || position > ss_store_last_position (store))
     return 0;
   return ss_store_entry (store, position)->term;
 }
@@ -188,13 +188,14 @@
       fprintf (store->file, "e%" G_GUINT64_FORMAT " %s\n", term, payload);
       fflush (store->file);
     }
-  return ss_store_held (store);
+  return ss_store_last_position (store);
 }
 
 void
 ss_store_apply_to (SsStore *store, uint64_t position)
 {
-  while (store->applied < position && store->applied < ss_store_held (store))
+  while (store->applied < position
+         && store->applied < ss_store_last_position (store))
     {
       store->applied++;
       apply_payload (store, ss_store_entry (store, store->applied)->payload);
@@ -206,7 +207,7 @@
 {
   uint64_t applied = MIN (store->applied, position);
 
-  if (position >= ss_store_held (store))
+  if (position >= ss_store_last_position (store))
     return;
   g_array_set_size (store->entries, (guint) position);
   if (store->file)
@@ -227,7 +228,7 @@
   GString *out = g_string_new (NULL);
   uint64_t last = 0;
 
-  for (uint64_t i = 1; i <= ss_store_held (store); i++)
+  for (uint64_t i = 1; i <= ss_store_last_position (store); i++)
     {
       uint64_t term = ss_store_term_at (store, i);
 
--- a/standin/store.h
+++ b/standin/store.h
@@ -51,8 +51,9 @@
 void ss_store_init (SsStore *store, const char *path);
 void ss_store_finish (SsStore *store);
 
-/* ss_store_held: returns the position of the last log entry; 0: none. */
-uint64_t ss_store_held (const SsStore *store);
+/* ss_store_last_position: returns the position of the last log entry; 0: none.
+ */
+uint64_t ss_store_last_position (const SsStore *store);
 /* ss_store_term_at: returns 0 for positions outside the log. */
 uint64_t ss_store_term_at (const SsStore *store, uint64_t position);
 /* ss_store_entry: POSITION must be in the log; the entry is borrowed. */
--- a/standin/target.c
+++ b/standin/target.c
@@ -15,7 +15,7 @@
 
 #include "kernel/stream.h"
 #include "plugins/pgwire.h"
-#include "standin/link.h"
+#include "standin/log_receiver.h"
 #include "standin/session.h"
 
 #define TICK_S 0.002
@@ -93,7 +93,7 @@
 {
   c->sql.out = out (c);
   ss_sql_session_run (&c->sql, text);
-  if (c->sql.committed)
+  if (c->sql.commit_position)
     answer_waiting_replicas (c->target, ss_server_now_ms (&c->target->server));
 }
 
--- a/tests/line_world.c
+++ b/tests/line_sim.c
@@ -1,4 +1,4 @@
-#include "tests/line_world.h"
+#include "tests/line_sim.h"
 
 #include <string.h>
 
@@ -39,13 +39,13 @@
 }
 
 static ScheduledEvent *
-schedule (LineWorld *w, int64_t after_ms, SsEventKind kind)
+schedule (LineSim *sim, int64_t after_ms, SsEventKind kind)
 {
   ScheduledEvent *d = g_new0 (ScheduledEvent, 1);
 
-  d->at_ms = w->now_ms + after_ms;
+  d->at_ms = sim->now_ms + after_ms;
   d->event.kind = kind;
-  g_queue_insert_sorted (&w->schedule, d, compare_scheduled, NULL);
+  g_queue_insert_sorted (&sim->schedule, d, compare_scheduled, NULL);
   return d;
 }
 
@@ -67,23 +67,23 @@
 /* --- violations --- */
 
 static void
-record_violation (LineWorld *w, const char *what, const char *label,
+record_violation (LineSim *sim, const char *what, const char *label,
                   const char *text)
 {
-  if (!w->violations++)
-    g_snprintf (w->first_violation, sizeof w->first_violation, "%s: %s %s",
+  if (!sim->violations++)
+    g_snprintf (sim->first_violation, sizeof sim->first_violation, "%s: %s %s",
                 what, label, text);
 }
 
 /* --- the platform --- */
 
 static void
-fill_objects (LineWorld *w, ScheduledEvent *d, SsWatch watch, bool all)
+fill_objects (LineSim *sim, ScheduledEvent *d, SsWatch watch, bool all)
 {
   GPtrArray *found = g_ptr_array_new ();
   uint32_t count = 0;
 
-  for (GTreeNode *n = g_tree_node_first (w->objects); n;
+  for (GTreeNode *n = g_tree_node_first (sim->objects); n;
        n = g_tree_node_next (n))
     if (g_str_has_prefix (g_tree_node_key (n), ss_watch_prefix (watch)))
       g_ptr_array_add (found, n);
@@ -97,39 +97,39 @@
       o->key = g_string_chunk_insert (d->texts, g_tree_node_key (n));
       o->value = g_string_chunk_insert (d->texts, g_tree_node_value (n));
       o->value_bytes = (uint32_t) strlen (o->value);
-      o->version = *(int64_t *) g_hash_table_lookup (w->versions, o->key);
+      o->version = *(int64_t *) g_hash_table_lookup (sim->versions, o->key);
     }
   g_ptr_array_free (found, TRUE);
   d->event.platform_objects.feed = watch;
   d->event.platform_objects.outcome
-      = w->platform_down ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_DONE;
+      = sim->platform_down ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_DONE;
   d->event.platform_objects.objects = d->objects;
-  d->event.platform_objects.object_count = w->platform_down ? 0 : count;
-  d->event.platform_objects.revision = w->version;
+  d->event.platform_objects.object_count = sim->platform_down ? 0 : count;
+  d->event.platform_objects.revision = sim->version;
   d->event.platform_objects.complete = all;
 }
 
 static void
-store_object (LineWorld *w, const char *key, const char *value)
+store_object (LineSim *sim, const char *key, const char *value)
 {
   int64_t *version = g_new (int64_t, 1);
 
-  *version = ++w->version;
-  g_tree_replace (w->objects, g_strdup (key), g_strdup (value));
-  g_hash_table_replace (w->versions, g_strdup (key), version);
+  *version = ++sim->version;
+  g_tree_replace (sim->objects, g_strdup (key), g_strdup (value));
+  g_hash_table_replace (sim->versions, g_strdup (key), version);
 }
 
 static void
-answer_put (LineWorld *w, const SsAction *a)
+answer_put (LineSim *sim, const SsAction *a)
 {
-  ScheduledEvent *d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECT);
+  ScheduledEvent *d = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECT);
   SsObject *o = &d->event.platform_object.object;
 
   d->event.platform_object.call = a->id;
   d->event.platform_object.outcome = SS_PLATFORM_UNKNOWN;
-  if (w->platform_down)
+  if (sim->platform_down)
     return;
-  store_object (w, a->name, a->text);
+  store_object (sim, a->name, a->text);
   d->event.platform_object.outcome = SS_PLATFORM_DONE;
   d->cells[0] = g_strdup (a->name);
   d->cells[1] = g_strdup (a->text);
@@ -137,29 +137,29 @@
   o->key = d->cells[0];
   o->value = d->cells[1];
   o->value_bytes = (uint32_t) strlen (o->value);
-  o->version = w->version;
+  o->version = sim->version;
 }
 
-static LineServer *find_server (LineWorld *w, const char *name);
+static LineServer *find_server (LineSim *sim, const char *name);
 
 /* Each promotion call must have a higher fencing token than the one before. */
 static void
-promote (LineWorld *w, const SsAction *a)
+promote (LineSim *sim, const SsAction *a)
 {
-  ScheduledEvent *d = schedule (w, 4, SS_EVENT_PLATFORM_PROMOTED);
+  ScheduledEvent *d = schedule (sim, 4, SS_EVENT_PLATFORM_PROMOTED);
 
-  if (a->number <= w->last_fencing_token)
-    record_violation (w, "fencing token did not increase", a->name, a->text);
-  w->last_fencing_token = a->number;
-  w->promotions++;
-  w->promoted = find_server (w, a->text);
-  w->promote_ms = w->now_ms + PROMOTION_DELAY_MS;
+  if (a->number <= sim->last_fencing_token)
+    record_violation (sim, "fencing token did not increase", a->name, a->text);
+  sim->last_fencing_token = a->number;
+  sim->promotions++;
+  sim->promoted = find_server (sim, a->text);
+  sim->promotion_due_ms = sim->now_ms + PROMOTION_DELAY_MS;
   d->event.platform_object.call = a->id;
   d->event.platform_object.outcome = SS_PLATFORM_DONE;
 }
 
 static void
-answer_platform (LineWorld *w, const SsAction *a)
+answer_platform (LineSim *sim, const SsAction *a)
 {
   ScheduledEvent *d;
 
@@ -167,20 +167,20 @@
     {
     case SS_ACTION_PLATFORM_WATCH:
       if (a->number)
-        return; /* line_world_put delivers changes */
-      d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECTS);
-      fill_objects (w, d, (SsWatch) a->id, true);
+        return; /* line_sim_put delivers changes */
+      d = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECTS);
+      fill_objects (sim, d, (SsWatch) a->id, true);
       break;
     case SS_ACTION_PLATFORM_LIST:
-      d = schedule (w, 4, SS_EVENT_PLATFORM_OBJECTS);
-      fill_objects (w, d, (SsWatch) a->id, true);
+      d = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECTS);
+      fill_objects (sim, d, (SsWatch) a->id, true);
       d->event.platform_objects.listed = true;
       break;
     case SS_ACTION_PLATFORM_PUT:
-      answer_put (w, a);
+      answer_put (sim, a);
       break;
     case SS_ACTION_PLATFORM_PROMOTE:
-      promote (w, a);
+      promote (sim, a);
       break;
     default:
       break;
@@ -188,45 +188,45 @@
 }
 
 void
-line_world_put (LineWorld *w, const char *key, const char *value)
+line_sim_put (LineSim *sim, const char *key, const char *value)
 {
   SsEvent e = { .kind = SS_EVENT_PLATFORM_OBJECTS };
   SsObject o = { 0 };
 
-  store_object (w, key, value);
+  store_object (sim, key, value);
   o.key = key;
   o.value = value;
   o.value_bytes = (uint32_t) strlen (value);
-  o.version = w->version;
+  o.version = sim->version;
   for (uint32_t i = 0; i < SS_WATCH_COUNT; i++)
     if (i != SS_WATCH_ALL && g_str_has_prefix (key, ss_watch_prefix (i)))
       e.platform_objects.feed = (SsWatch) i;
   e.platform_objects.outcome = SS_PLATFORM_DONE;
   e.platform_objects.objects = &o;
   e.platform_objects.object_count = 1;
-  e.platform_objects.revision = w->version;
-  ss_node_on_event (&w->node, &e, w->now_ms);
+  e.platform_objects.revision = sim->version;
+  ss_node_on_event (&sim->node, &e, sim->now_ms);
 }
 
 /* --- servers --- */
 
 static LineServer *
-find_server (LineWorld *w, const char *name)
+find_server (LineSim *sim, const char *name)
 {
   for (uint32_t i = 0; i < LINE_SERVERS; i++)
-    if (strcmp (w->servers[i].name, name) == 0)
-      return &w->servers[i];
+    if (strcmp (sim->servers[i].name, name) == 0)
+      return &sim->servers[i];
   return NULL;
 }
 
 static LineServer *
-find_primary (LineWorld *w)
+find_primary (LineSim *sim)
 {
   LineServer *primary = NULL;
 
   for (uint32_t i = 0; i < LINE_SERVERS; i++)
     {
-      LineServer *s = &w->servers[i];
+      LineServer *s = &sim->servers[i];
 
       if (s->role == SS_SERVER_PRIMARY && !s->down
           && (!primary || s->term > primary->term))
@@ -239,43 +239,43 @@
  * server; the replicas that receive replication follow the new primary.
  */
 static void
-finish_promotion (LineWorld *w)
+finish_promotion (LineSim *sim)
 {
-  if (!w->promote_ms || w->now_ms < w->promote_ms)
+  if (!sim->promotion_due_ms || sim->now_ms < sim->promotion_due_ms)
     return;
-  w->promote_ms = 0;
-  w->promoted->role = SS_SERVER_PRIMARY;
-  w->promoted->term++;
+  sim->promotion_due_ms = 0;
+  sim->promoted->role = SS_SERVER_PRIMARY;
+  sim->promoted->term++;
   for (uint32_t i = 0; i < LINE_SERVERS; i++)
     {
-      LineServer *s = &w->servers[i];
+      LineServer *s = &sim->servers[i];
 
       s->barred_term = 0;
-      if (s != w->promoted && !s->deaf && !s->down
+      if (s != sim->promoted && !s->replication_stopped && !s->down
           && s->role == SS_SERVER_REPLICA)
-        s->term = w->promoted->term;
+        s->term = sim->promoted->term;
     }
 }
 
 /* Replicas receive entries at once and apply them after their lag. */
 static void
-replicate (LineWorld *w)
+replicate (LineSim *sim)
 {
   const LineServer *primary;
 
-  finish_promotion (w);
-  primary = find_primary (w);
+  finish_promotion (sim);
+  primary = find_primary (sim);
   for (uint32_t i = 0; primary && i < LINE_SERVERS; i++)
     {
-      LineServer *s = &w->servers[i];
+      LineServer *s = &sim->servers[i];
 
-      if (s == primary || s->down || s->deaf || s->barred_term
+      if (s == primary || s->down || s->replication_stopped || s->barred_term
           || s->term != primary->term)
         continue;
       s->received = primary->received;
       if (ss_position_compare (s->applied, s->received) == 0)
-        s->in_sync_ms = w->now_ms;
-      else if (w->now_ms - s->in_sync_ms >= s->lag_ms)
+        s->in_sync_ms = sim->now_ms;
+      else if (sim->now_ms - s->in_sync_ms >= s->lag_ms)
         s->applied = s->received;
     }
 }
@@ -321,14 +321,14 @@
  * the state of its session.
  */
 static void
-check_execution (LineWorld *w, LineConnection *c, const char *label,
+check_execution (LineSim *sim, LineConnection *c, const char *label,
                  const SsStatement *st)
 {
-  LineSession *s = &w->sessions[session_of (label) - 1];
+  LineSession *s = &sim->sessions[session_of (label) - 1];
   const SsPrepared *p;
 
   if (!has_same_settings (&c->state, &s->state))
-    record_violation (w, "settings differ", label, c->server->name);
+    record_violation (sim, "settings differ", label, c->server->name);
   if (st->kind == SS_STATEMENT_EXECUTE)
     {
       const SsPrepared *wanted
@@ -337,48 +337,49 @@
       p = ss_session_state_prepared (&c->state, st->name);
       if (!p || !wanted || strcmp (p->shape, wanted->shape) != 0
           || p->is_read != wanted->is_read)
-        record_violation (w, "prepared statement differs", label,
+        record_violation (sim, "prepared statement differs", label,
                           c->server->name);
     }
   if (s->status == 'T' && s->first_connection && s->first_connection != c->id)
-    record_violation (w, "transaction changed connection", label,
+    record_violation (sim, "transaction changed connection", label,
                       c->server->name);
   if (s->status == 'T')
     s->first_connection = c->id;
   if (s->status != 'T' && c->status != 'I')
-    record_violation (w, "connection has an open transaction", label,
+    record_violation (sim, "connection has an open transaction", label,
                       c->server->name);
   if (c->session && c->session != s->id)
-    record_violation (w, "connection is in another session's transaction",
+    record_violation (sim, "connection is in another session's transaction",
                       label, c->server->name);
   if (s->status != 'T'
       && !ss_position_covers (c->server->applied, s->committed))
-    record_violation (w, "server lacks own commit of session", label,
+    record_violation (sim, "server lacks own commit of session", label,
                       c->server->name);
 }
 
 static void
-count_run (LineWorld *w, const char *label)
+count_run (LineSim *sim, const char *label)
 {
-  uint32_t ran = line_world_ran (w, label);
+  uint32_t ran = line_sim_run_count (sim, label);
 
-  g_hash_table_replace (w->runs, g_strdup (label), GUINT_TO_POINTER (ran + 1));
+  g_hash_table_replace (sim->runs, g_strdup (label),
+                        GUINT_TO_POINTER (ran + 1));
 }
 
 static void
-commit (LineWorld *w, LineServer *s, const char *label)
+commit (LineSim *sim, LineServer *s, const char *label)
 {
   s->received.term = s->term;
   s->received.offset++;
   s->applied = s->received;
   if (label)
-    w->sessions[session_of (label) - 1].committing = s->received;
-  replicate (w);
+    sim->sessions[session_of (label) - 1].committing = s->received;
+  replicate (sim);
 }
 
 /* Runs TEXT at the connection's server; returns the fault, if any. */
 static SsTargetFault
-run_statement (LineWorld *w, LineConnection *c, const char *label,
+run_statement (LineSim *sim, LineConnection *c, const char *label,
                const char *text)
 {
   LineServer *s = c->server;
@@ -404,8 +405,8 @@
     goto done;
   if (label)
     {
-      check_execution (w, c, label, &st);
-      count_run (w, label);
+      check_execution (sim, c, label, &st);
+      count_run (sim, label);
     }
   switch (st.kind)
     {
@@ -421,7 +422,7 @@
     case SS_STATEMENT_COMMIT:
     case SS_STATEMENT_ROLLBACK:
       if (st.kind == SS_STATEMENT_COMMIT && c->wrote)
-        commit (w, s, label);
+        commit (sim, s, label);
       c->status = 'I';
       c->session = 0;
       c->wrote = false;
@@ -429,7 +430,7 @@
     default:
       c->wrote = c->status == 'T' && (c->wrote || writes);
       if (writes && c->status == 'I')
-        commit (w, s, label);
+        commit (sim, s, label);
       break;
     }
   if (label && c->status == 'T')
@@ -477,15 +478,15 @@
 }
 
 static SsTargetFault
-run_text (LineWorld *w, LineConnection *c, const char *label, const char *text,
+run_text (LineSim *sim, LineConnection *c, const char *label, const char *text,
           ScheduledEvent *d)
 {
   LineServer *s = c->server;
 
   if (strcmp (text, "STATUS") == 0)
     {
-      w->status_asks++;
-      w->primary_asks += s == &w->servers[0] ? 1 : 0;
+      sim->status_requests++;
+      sim->primary_status_requests += s == &sim->servers[0] ? 1 : 0;
       fill_status (s, d);
       return SS_TARGET_FAULT_NONE;
     }
@@ -504,42 +505,42 @@
       s->barred_term = g_ascii_strtoull (text + 6, NULL, 10);
       return SS_TARGET_FAULT_NONE;
     }
-  if (label && w->busy_next)
+  if (label && sim->busy_next)
     {
-      w->busy_next = false;
+      sim->busy_next = false;
       return SS_TARGET_FAULT_BUSY;
     }
-  if (g_rand_int_range (w->rand, 0, 1000) < (gint32) w->busy_permille)
+  if (g_rand_int_range (sim->rand, 0, 1000) < (gint32) sim->busy_permille)
     return SS_TARGET_FAULT_BUSY;
   text = strip_floor (s, text);
-  return text ? run_statement (w, c, label, text) : SS_TARGET_FAULT_BEHIND;
+  return text ? run_statement (sim, c, label, text) : SS_TARGET_FAULT_BEHIND;
 }
 
 static bool
-loses_answer (LineWorld *w, const char *label)
+loses_answer (LineSim *sim, const char *label)
 {
-  if (label && w->lose_next)
+  if (label && sim->lose_next)
     {
-      w->lose_next = false;
+      sim->lose_next = false;
       return true;
     }
   return label
-         && g_rand_int_range (w->rand, 0, 1000) < (gint32) w->lost_permille;
+         && g_rand_int_range (sim->rand, 0, 1000) < (gint32) sim->lost_permille;
 }
 
 static void
-handle_query (LineWorld *w, const SsAction *a)
+handle_query (LineSim *sim, const SsAction *a)
 {
-  LineConnection *c = g_hash_table_lookup (w->connections, &a->id);
-  int64_t after_ms = 1 + g_rand_int_range (w->rand, 0, ANSWER_MAX_MS);
+  LineConnection *c = g_hash_table_lookup (sim->connections, &a->id);
+  int64_t after_ms = 1 + g_rand_int_range (sim->rand, 0, ANSWER_MAX_MS);
   ScheduledEvent *d;
 
   if (!c)
     return;
-  replicate (w);
-  d = schedule (w, after_ms, SS_EVENT_TARGET_RESULT);
-  d->result.fault = run_text (w, c, a->label, a->text, d);
-  if (loses_answer (w, a->label))
+  replicate (sim);
+  d = schedule (sim, after_ms, SS_EVENT_TARGET_RESULT);
+  d->result.fault = run_text (sim, c, a->label, a->text, d);
+  if (loses_answer (sim, a->label))
     {
       d->event.kind = SS_EVENT_TARGET_CLOSED;
       d->event.target.connection = c->id;
@@ -566,38 +567,38 @@
 }
 
 static void
-connect_server (LineWorld *w, const SsAction *a)
+connect_server (LineSim *sim, const SsAction *a)
 {
   LineConnection *c = g_new0 (LineConnection, 1);
-  ScheduledEvent *d = schedule (w, HANDSHAKE_MS, SS_EVENT_TARGET_READY);
+  ScheduledEvent *d = schedule (sim, HANDSHAKE_MS, SS_EVENT_TARGET_READY);
 
   c->id = a->id;
-  c->server = find_server (w, a->name);
+  c->server = find_server (sim, a->name);
   if (!c->server || c->server->down)
     {
       d->event.kind = SS_EVENT_TARGET_CLOSED;
       d->event.target.refused = true;
     }
   c->status = 'I';
-  g_hash_table_insert (w->connections, &c->id, c);
+  g_hash_table_insert (sim->connections, &c->id, c);
   d->event.target.connection = c->id;
 }
 
 /* --- callers --- */
 
 static void
-handle_reply (LineWorld *w, const SsAction *a)
+handle_reply (LineSim *sim, const SsAction *a)
 {
-  LineSession *s = &w->sessions[a->id - 1];
+  LineSession *s = &sim->sessions[a->id - 1];
   bool ran = a->verdict == SS_VERDICT_RAN;
 
-  if (a->id == 0 || a->id > w->session_count)
+  if (a->id == 0 || a->id > sim->session_count)
     return;
-  s->waits = false;
+  s->awaiting_reply = false;
   s->verdict = a->verdict;
   s->reason = a->reason;
   s->next_statement_ms
-      = w->now_ms + g_rand_int_range (w->rand, 0, THINK_TIME_MAX_MS);
+      = sim->now_ms + g_rand_int_range (sim->rand, 0, THINK_TIME_MAX_MS);
   if (ran && s->statement.kind == SS_STATEMENT_SET)
     ss_session_state_set (&s->state, s->statement.name, s->statement.value);
   if (ran && s->statement.kind == SS_STATEMENT_PREPARE)
@@ -611,49 +612,49 @@
   s->status = a->transaction_status ? a->transaction_status : 'I';
   if (s->status == 'I')
     s->first_connection = 0;
-  w->served += ran ? 1 : 0;
-  w->not_run += a->verdict == SS_VERDICT_NOT_RUN ? 1 : 0;
-  w->in_doubt += a->verdict == SS_VERDICT_MAY_HAVE_RUN ? 1 : 0;
+  sim->served += ran ? 1 : 0;
+  sim->not_run += a->verdict == SS_VERDICT_NOT_RUN ? 1 : 0;
+  sim->in_doubt += a->verdict == SS_VERDICT_MAY_HAVE_RUN ? 1 : 0;
 }
 
 static void
-handle_peer_message (LineWorld *w, const SsAction *a)
+handle_peer_message (LineSim *sim, const SsAction *a)
 {
   gsize bytes;
   const uint8_t *data = g_bytes_get_data (a->bytes, &bytes);
   SsEnvelope *e = ss__peer__envelope__unpack (NULL, bytes, data);
 
   if (e->body_case == SS__PEER__ENVELOPE__BODY_LEASE_ASK)
-    w->lease_nonce = e->lease_ask->nonce;
+    sim->lease_nonce = e->lease_ask->nonce;
   ss__peer__envelope__free_unpacked (e, NULL);
 }
 
 static void
-execute_actions (LineWorld *w)
+execute_actions (LineSim *sim)
 {
   SsAction a;
 
-  while (ss_node_take_action (&w->node, &a))
+  while (ss_node_take_action (&sim->node, &a))
     {
       switch (a.kind)
         {
         case SS_ACTION_TARGET_CONNECT:
-          connect_server (w, &a);
+          connect_server (sim, &a);
           break;
         case SS_ACTION_TARGET_QUERY:
-          handle_query (w, &a);
+          handle_query (sim, &a);
           break;
         case SS_ACTION_TARGET_CLOSE:
-          g_hash_table_remove (w->connections, &a.id);
+          g_hash_table_remove (sim->connections, &a.id);
           break;
         case SS_ACTION_CALLER_REPLY:
-          handle_reply (w, &a);
+          handle_reply (sim, &a);
           break;
         case SS_ACTION_PEER_SEND:
-          handle_peer_message (w, &a);
+          handle_peer_message (sim, &a);
           break;
         default:
-          answer_platform (w, &a);
+          answer_platform (sim, &a);
           break;
         }
       ss_action_clear (&a);
@@ -661,23 +662,23 @@
 }
 
 const char *
-line_world_last_label (LineWorld *w, uint32_t session)
+line_sim_last_label (LineSim *sim, uint32_t session)
 {
   static char label[32];
 
   g_snprintf (label, sizeof label, "c%u-%u", session,
-              w->sessions[session - 1].statements);
+              sim->sessions[session - 1].statements);
   return label;
 }
 
 uint32_t
-line_world_ran (LineWorld *w, const char *label)
+line_sim_run_count (LineSim *sim, const char *label)
 {
-  return GPOINTER_TO_UINT (g_hash_table_lookup (w->runs, label));
+  return GPOINTER_TO_UINT (g_hash_table_lookup (sim->runs, label));
 }
 
 static void
-send_statement (LineWorld *w, LineSession *s, const char *text)
+send_statement (LineSim *sim, LineSession *s, const char *text)
 {
   const SsDialect *d = ss_dialect_line ();
   SsEvent e = { .kind = SS_EVENT_CALLER_STATEMENT };
@@ -685,16 +686,16 @@
   ss_statement_finish (&s->statement);
   d->parse (d, text, &s->statement);
   s->statements++;
-  s->waits = true;
+  s->awaiting_reply = true;
   e.caller_statement.caller = s->id;
-  e.caller_statement.label = line_world_last_label (w, s->id);
+  e.caller_statement.label = line_sim_last_label (sim, s->id);
   e.caller_statement.sql = text;
-  ss_node_on_event (&w->node, &e, w->now_ms);
-  execute_actions (w);
+  ss_node_on_event (&sim->node, &e, sim->now_ms);
+  execute_actions (sim);
 }
 
 void
-line_world_peer (LineWorld *w, SsEnvelope *envelope)
+line_sim_deliver_peer_message (LineSim *sim, SsEnvelope *envelope)
 {
   SsEvent e = { .kind = SS_EVENT_PEER_MESSAGE };
   size_t bytes;
@@ -706,23 +707,23 @@
   ss__peer__envelope__pack (envelope, data);
   e.peer_message.data = data;
   e.peer_message.data_bytes = (uint32_t) bytes;
-  ss_node_on_event (&w->node, &e, w->now_ms);
+  ss_node_on_event (&sim->node, &e, sim->now_ms);
   g_free (data);
-  execute_actions (w);
+  execute_actions (sim);
 }
 
 /* --- running --- */
 
 static bool
-is_deliverable (LineWorld *w, const SsEvent *e)
+is_deliverable (LineSim *sim, const SsEvent *e)
 {
   switch (e->kind)
     {
     case SS_EVENT_TARGET_READY:
     case SS_EVENT_TARGET_CLOSED:
-      return g_hash_table_contains (w->connections, &e->target.connection);
+      return g_hash_table_contains (sim->connections, &e->target.connection);
     case SS_EVENT_TARGET_RESULT:
-      return g_hash_table_contains (w->connections,
+      return g_hash_table_contains (sim->connections,
                                     &e->target_result.connection);
     default:
       return true;
@@ -730,72 +731,72 @@
 }
 
 static void
-deliver (LineWorld *w, ScheduledEvent *d)
+deliver (LineSim *sim, ScheduledEvent *d)
 {
-  if (is_deliverable (w, &d->event))
+  if (is_deliverable (sim, &d->event))
     {
       if (d->event.kind == SS_EVENT_TARGET_CLOSED)
-        g_hash_table_remove (w->connections, &d->event.target.connection);
-      ss_node_on_event (&w->node, &d->event, w->now_ms);
+        g_hash_table_remove (sim->connections, &d->event.target.connection);
+      ss_node_on_event (&sim->node, &d->event, sim->now_ms);
     }
   scheduled_free (d);
-  execute_actions (w);
+  execute_actions (sim);
 }
 
 static void
-step (LineWorld *w)
+step (LineSim *sim)
 {
   SsEvent tick = { .kind = SS_EVENT_TICK };
   ScheduledEvent *d;
 
-  w->now_ms++;
-  replicate (w);
-  while ((d = g_queue_peek_head (&w->schedule)) && d->at_ms <= w->now_ms)
-    deliver (w, g_queue_pop_head (&w->schedule));
-  if (ss_node_next_deadline (&w->node) > w->now_ms)
+  sim->now_ms++;
+  replicate (sim);
+  while ((d = g_queue_peek_head (&sim->schedule)) && d->at_ms <= sim->now_ms)
+    deliver (sim, g_queue_pop_head (&sim->schedule));
+  if (ss_node_next_deadline (&sim->node) > sim->now_ms)
     return;
-  ss_node_on_event (&w->node, &tick, w->now_ms);
-  execute_actions (w);
+  ss_node_on_event (&sim->node, &tick, sim->now_ms);
+  execute_actions (sim);
 }
 
 void
-line_world_advance (LineWorld *w, int64_t ms)
+line_sim_advance (LineSim *sim, int64_t ms)
 {
   for (int64_t i = 0; i < ms; i++)
-    step (w);
+    step (sim);
 }
 
 void
-line_world_start (LineWorld *w, uint32_t session, const char *text)
+line_sim_send (LineSim *sim, uint32_t session, const char *text)
 {
-  send_statement (w, &w->sessions[session - 1], text);
+  send_statement (sim, &sim->sessions[session - 1], text);
 }
 
 bool
-line_world_say (LineWorld *w, uint32_t session, const char *text)
+line_sim_execute (LineSim *sim, uint32_t session, const char *text)
 {
-  LineSession *s = &w->sessions[session - 1];
+  LineSession *s = &sim->sessions[session - 1];
 
-  send_statement (w, s, text);
-  for (int64_t i = 0; i < REPLY_MAX_MS && s->waits; i++)
-    step (w);
-  return !s->waits;
+  send_statement (sim, s, text);
+  for (int64_t i = 0; i < REPLY_MAX_MS && s->awaiting_reply; i++)
+    step (sim);
+  return !s->awaiting_reply;
 }
 
 void
-line_world_crash (LineWorld *w, uint32_t server)
+line_sim_crash (LineSim *sim, uint32_t server)
 {
   GHashTableIter iter;
   gpointer value;
 
-  w->servers[server].down = true;
-  g_hash_table_iter_init (&iter, w->connections);
+  sim->servers[server].down = true;
+  g_hash_table_iter_init (&iter, sim->connections);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const LineConnection *c = value;
 
-      if (c->server == &w->servers[server])
-        schedule (w, 1, SS_EVENT_TARGET_CLOSED)->event.target.connection
+      if (c->server == &sim->servers[server])
+        schedule (sim, 1, SS_EVENT_TARGET_CLOSED)->event.target.connection
             = c->id;
     }
 }
@@ -803,7 +804,7 @@
 /* --- random sessions --- */
 
 static void
-send_random_statement (LineWorld *w, LineSession *s)
+send_random_statement (LineSim *sim, LineSession *s)
 {
   static const char *const outside[]
       = { "READ 1a",        "READ 2b", "WRITE 1a x", "EXECUTE p 3c",
@@ -811,62 +812,63 @@
   static const char *const inside[]
       = { "READ 1a", "EXECUTE p 3c", "WRITE 1a x", "EXECUTE q 4d",
           "COMMIT",  "COMMIT",       "ROLLBACK" };
-  gint32 choice = g_rand_int_range (w->rand, 0, 10);
+  gint32 choice = g_rand_int_range (sim->rand, 0, 10);
   char *text;
 
   if (s->status == 'E')
     text = g_strdup ("ROLLBACK");
   else if (choice == 0)
-    text = g_strdup_printf ("SET v%d %d", g_rand_int_range (w->rand, 0, 3),
-                            g_rand_int_range (w->rand, 0, 4));
+    text = g_strdup_printf ("SET v%d %d", g_rand_int_range (sim->rand, 0, 3),
+                            g_rand_int_range (sim->rand, 0, 4));
   else if (choice == 1 || !s->state.prepared)
     text = g_strdup_printf ("PREPARE p READ shape%d",
-                            g_rand_int_range (w->rand, 0, 4));
+                            g_rand_int_range (sim->rand, 0, 4));
   else if (choice == 2 || !ss_session_state_prepared (&s->state, "q"))
     text = g_strdup_printf ("PREPARE q WRITE shape%d",
-                            g_rand_int_range (w->rand, 0, 4));
+                            g_rand_int_range (sim->rand, 0, 4));
   else if (s->status == 'T')
     text = g_strdup (
-        inside[g_rand_int_range (w->rand, 0, G_N_ELEMENTS (inside))]);
+        inside[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (inside))]);
   else
     text = g_strdup (
-        outside[g_rand_int_range (w->rand, 0, G_N_ELEMENTS (outside))]);
+        outside[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (outside))]);
   s->remaining--;
-  send_statement (w, s, text);
+  send_statement (sim, s, text);
   g_free (text);
 }
 
 static bool
-is_done (const LineWorld *w)
+is_done (const LineSim *sim)
 {
-  for (uint32_t i = 0; i < w->session_count; i++)
-    if (w->sessions[i].remaining || w->sessions[i].waits)
+  for (uint32_t i = 0; i < sim->session_count; i++)
+    if (sim->sessions[i].remaining || sim->sessions[i].awaiting_reply)
       return false;
   return true;
 }
 
 void
-line_world_mingle (LineWorld *w, uint32_t statements)
+line_sim_run_random (LineSim *sim, uint32_t statements)
 {
-  for (uint32_t i = 0; i < w->session_count; i++)
-    w->sessions[i].remaining = statements;
-  while (!is_done (w))
+  for (uint32_t i = 0; i < sim->session_count; i++)
+    sim->sessions[i].remaining = statements;
+  while (!is_done (sim))
     {
-      for (uint32_t i = 0; i < w->session_count; i++)
+      for (uint32_t i = 0; i < sim->session_count; i++)
         {
-          LineSession *s = &w->sessions[i];
+          LineSession *s = &sim->sessions[i];
 
-          if (s->remaining && !s->waits && w->now_ms >= s->next_statement_ms)
-            send_random_statement (w, s);
+          if (s->remaining && !s->awaiting_reply
+              && sim->now_ms >= s->next_statement_ms)
+            send_random_statement (sim, s);
         }
-      step (w);
+      step (sim);
     }
 }
 
 /* --- set-up --- */
 
 static void
-start_core (LineWorld *w, uint32_t seed)
+start_core (LineSim *sim, uint32_t seed)
 {
   SsNodeParams params = { .vm = "a",
                           .failure_domain = "d",
@@ -890,28 +892,28 @@
   params.timing.poll_asked_ms = 10;
   params.timing.silence_ms = 450;
   params.timing.unreachable_ms = 900;
-  ss_node_init (&w->node, &params, w->now_ms);
+  ss_node_init (&sim->node, &params, sim->now_ms);
 }
 
 static void
-store_targets (LineWorld *w)
+store_targets (LineSim *sim)
 {
   for (uint32_t i = 0; i < LINE_SERVERS; i++)
     {
-      char *key = g_strdup_printf ("target/%s", w->servers[i].name);
+      char *key = g_strdup_printf ("target/%s", sim->servers[i].name);
       char *value
           = g_strdup_printf ("{\"group\":\"g\",\"ip\":\"10.0.1.%u\",\"port\":1,"
                              "\"failure_domain\":\"d\",\"slots\":2}",
                              i + 1);
 
-      store_object (w, key, value);
+      store_object (sim, key, value);
       g_free (key);
       g_free (value);
     }
 }
 
 static void
-store_routes (LineWorld *w, uint32_t max_connections)
+store_routes (LineSim *sim, uint32_t max_connections)
 {
   char *routes = g_strdup_printf (
       "{\"services\":{"
@@ -922,7 +924,7 @@
       "\"groups\":{\"g\":{\"max_connections\":%u}}}",
       max_connections);
 
-  store_object (w, "routes/main", routes);
+  store_object (sim, "routes/main", routes);
   g_free (routes);
 }
 
@@ -934,42 +936,43 @@
 }
 
 static void
-open_sessions (LineWorld *w, uint32_t count)
+open_sessions (LineSim *sim, uint32_t count)
 {
-  w->session_count = count;
+  sim->session_count = count;
   for (uint32_t i = 0; i < count; i++)
     {
       SsEvent e = { .kind = SS_EVENT_CALLER_OPEN };
 
-      w->sessions[i].id = i + 1;
-      w->sessions[i].status = 'I';
+      sim->sessions[i].id = i + 1;
+      sim->sessions[i].status = 'I';
       e.caller_open.caller = i + 1;
       e.caller_open.service = i % 2 ? "bounded" : "strict";
       e.caller_open.user = "";
-      ss_node_on_event (&w->node, &e, w->now_ms);
-      execute_actions (w);
+      ss_node_on_event (&sim->node, &e, sim->now_ms);
+      execute_actions (sim);
     }
-  w->served = 0;
+  sim->served = 0;
 }
 
 void
-line_world_init (LineWorld *w, uint32_t seed, uint32_t sessions,
-                 uint32_t max_connections)
+line_sim_init (LineSim *sim, uint32_t seed, uint32_t sessions,
+               uint32_t max_connections)
 {
   static const char *const names[] = { "t1", "t2", "t3" };
 
-  memset (w, 0, sizeof *w);
-  w->rand = g_rand_new_with_seed (seed);
-  w->now_ms = START_MS;
-  w->objects = g_tree_new_full (compare_keys, NULL, g_free, g_free);
-  w->versions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  w->connections = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
-                                          free_connection);
-  g_queue_init (&w->schedule);
+  memset (sim, 0, sizeof *sim);
+  sim->rand = g_rand_new_with_seed (seed);
+  sim->now_ms = START_MS;
+  sim->objects = g_tree_new_full (compare_keys, NULL, g_free, g_free);
+  sim->versions
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  sim->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  sim->connections = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
+                                            free_connection);
+  g_queue_init (&sim->schedule);
   for (uint32_t i = 0; i < LINE_SERVERS; i++)
     {
-      LineServer *s = &w->servers[i];
+      LineServer *s = &sim->servers[i];
 
       s->name = names[i];
       s->role = i ? SS_SERVER_REPLICA : SS_SERVER_PRIMARY;
@@ -978,27 +981,27 @@
       s->applied = s->received;
       s->lag_ms = APPLY_LAG_MS;
     }
-  store_routes (w, max_connections);
-  store_targets (w);
-  start_core (w, seed);
+  store_routes (sim, max_connections);
+  store_targets (sim);
+  start_core (sim, seed);
   /* The core finds the primary and records it in the group object. */
-  line_world_advance (w, 6000);
-  open_sessions (w, sessions);
+  line_sim_advance (sim, 6000);
+  open_sessions (sim, sessions);
 }
 
 void
-line_world_finish (LineWorld *w)
+line_sim_finish (LineSim *sim)
 {
-  ss_node_finish (&w->node);
-  for (uint32_t i = 0; i < w->session_count; i++)
+  ss_node_finish (&sim->node);
+  for (uint32_t i = 0; i < sim->session_count; i++)
     {
-      ss_session_state_finish (&w->sessions[i].state);
-      ss_statement_finish (&w->sessions[i].statement);
+      ss_session_state_finish (&sim->sessions[i].state);
+      ss_statement_finish (&sim->sessions[i].statement);
     }
-  g_queue_clear_full (&w->schedule, scheduled_free);
-  g_hash_table_destroy (w->connections);
-  g_hash_table_destroy (w->runs);
-  g_hash_table_destroy (w->versions);
-  g_tree_destroy (w->objects);
-  g_rand_free (w->rand);
+  g_queue_clear_full (&sim->schedule, scheduled_free);
+  g_hash_table_destroy (sim->connections);
+  g_hash_table_destroy (sim->runs);
+  g_hash_table_destroy (sim->versions);
+  g_tree_destroy (sim->objects);
+  g_rand_free (sim->rand);
 }
--- a/tests/property.c
+++ b/tests/property.c
@@ -10,17 +10,17 @@
 #include <glib.h>
 #include <stdio.h>
 
-#include "tests/world.h"
+#include "tests/sim.h"
 
 static int seed = 1;
 static int count = 1000;
 static int busy_ms = 8000;
-static int broken;
+static int defect;
 static gboolean verbose;
 static gboolean calm;
 
 static void
-print_report (uint32_t number, const WorldReport *r)
+print_report (uint32_t number, const SimReport *r)
 {
   printf ("seed %u: statements %" G_GUINT64_FORMAT
           " acknowledged %" G_GUINT64_FORMAT " not_run %" G_GUINT64_FORMAT
@@ -45,7 +45,7 @@
     { "count", 0, 0, G_OPTION_ARG_INT, &count, "Number of histories", "N" },
     { "busy-ms", 0, 0, G_OPTION_ARG_INT, &busy_ms,
       "How long faults are injected", "MS" },
-    { "broken", 0, 0, G_OPTION_ARG_INT, &broken,
+    { "broken", 0, 0, G_OPTION_ARG_INT, &defect,
       "Number of the mechanism to break", "N" },
     { "calm", 0, 0, G_OPTION_ARG_NONE, &calm, "No faults", NULL },
     { "verbose", 0, 0, G_OPTION_ARG_NONE, &verbose,
@@ -55,7 +55,7 @@
   GOptionContext *context
       = g_option_context_new ("- simulate and check seeded histories");
   GError *error = NULL;
-  WorldReport sum = { 0 };
+  SimReport sum = { 0 };
   int failed = 0;
 
   g_option_context_add_main_entries (context, entries, NULL);
@@ -66,17 +66,17 @@
     }
   for (int i = 0; i < count; i++)
     {
-      WorldParams params
-          = { (uint32_t) (seed + i), !calm, busy_ms, (WorldBreak) broken };
-      WorldReport report;
+      SimParams params
+          = { (uint32_t) (seed + i), !calm, busy_ms, (SimDefect) defect };
+      SimReport report;
 
-      world_run (&params, &report);
+      sim_run (&params, &report);
       sum.acknowledged += report.acknowledged;
       sum.promotions += report.promotions;
       sum.may_have_run += report.may_have_run;
-      if (verbose || world_violations (&report))
+      if (verbose || sim_violations (&report))
         print_report (params.seed, &report);
-      failed += world_violations (&report) ? 1 : 0;
+      failed += sim_violations (&report) ? 1 : 0;
     }
   printf ("histories %d acknowledged %" G_GUINT64_FORMAT
           " promotions %" G_GUINT64_FORMAT " may_have_run %" G_GUINT64_FORMAT
--- a/tests/world.h
+++ b/tests/sim.h
@@ -1,4 +1,4 @@
-/* world: a deterministic simulation of a cluster, for the property tests.
+/* sim: a deterministic simulation of a cluster, for the property tests.
  *
  * Several decision cores, stand-in servers, callers and a platform run on one
  * simulated clock.  All randomness comes from the seed, so a seed reproduces
@@ -6,39 +6,39 @@
  * order, or lost with their connection; with faults, control messages may also
  * be duplicated and reordered.
  */
-#ifndef SS_TESTS_WORLD_H
-#define SS_TESTS_WORLD_H
+#ifndef SS_TESTS_SIM_H
+#define SS_TESTS_SIM_H
 
 #include "core/node.h"
 #include "standin/session.h"
 
-#define WORLD_NODES 6
-#define WORLD_SERVERS 3
-#define WORLD_CALLERS 8
-#define WORLD_DOMAINS 3
+#define SIM_NODES 6
+#define SIM_SERVERS 3
+#define SIM_CALLERS 8
+#define SIM_DOMAINS 3
 
 /* Mechanisms that a test disables or falsifies, to show that the checks detect
  * the resulting violations.
  */
 typedef enum
 {
-  WORLD_BREAK_NONE,
-  WORLD_BREAK_HELD,    /* servers report log entries they do not hold */
-  WORLD_BREAK_TERM,    /* a primary ignores a higher term */
-  WORLD_BREAK_REQUEST, /* idempotency keys are not unique */
-  WORLD_BREAK_APPLIED, /* replicas report all entries held as applied */
-  WORLD_BREAK_ANSWER,  /* some results carry a foreign value */
-  WORLD_BREAK_COMMIT,  /* servers commit each statement on its own */
-  WORLD_BREAK_IDENTITY /* callers connect under other callers' names */
-} WorldBreak;
+  SIM_DEFECT_NONE,
+  SIM_DEFECT_HELD_POSITION,    /* servers report log entries they do not hold */
+  SIM_DEFECT_FENCING,          /* a primary ignores a higher term */
+  SIM_DEFECT_IDEMPOTENCY,      /* idempotency keys are not unique */
+  SIM_DEFECT_APPLIED_POSITION, /* replicas report all entries held as applied */
+  SIM_DEFECT_RESULT,           /* some results carry a foreign value */
+  SIM_DEFECT_ATOMICITY,        /* servers commit each statement on its own */
+  SIM_DEFECT_IDENTITY          /* callers connect under other callers' names */
+} SimDefect;
 
 typedef struct
 {
   uint32_t seed;
   bool faults;
   int64_t busy_ms; /* how long faults are injected */
-  WorldBreak broken;
-} WorldParams;
+  SimDefect defect;
+} SimParams;
 
 typedef struct
 {
@@ -59,16 +59,16 @@
   uint64_t replica_reads;
   uint64_t actions_hash; /* of all actions of all cores, in order */
   char first_violation[200];
-} WorldReport;
+} SimReport;
 
-/* world_run: simulates one history and writes its counts and violations to
+/* sim_run: simulates one history and writes its counts and violations to
  * REPORT.
  */
-void world_run (const WorldParams *params, WorldReport *report);
+void sim_run (const SimParams *params, SimReport *report);
 
-/* world_violations: returns the number of violations in REPORT; a history that
+/* sim_violations: returns the number of violations in REPORT; a history that
  * did not recover counts as one.
  */
-uint64_t world_violations (const WorldReport *report);
+uint64_t sim_violations (const SimReport *report);
 
 #endif
--- a/tests/world_callers.c
+++ b/tests/sim_callers.c
@@ -1,7 +1,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "tests/world_internal.h"
+#include "tests/sim_internal.h"
 
 #define STALENESS_MS 2000
 #define RETRY_LIMIT_MS 6000
@@ -12,91 +12,92 @@
 #define LATENESS_LIMIT_MS 400
 
 static void
-schedule_step (World *w, WorldCaller *c, int64_t delay_ms)
+schedule_step (Simulation *sim, SimCaller *c, int64_t delay_ms)
 {
   ScheduledEvent *scheduled
-      = world_schedule (w, SCHEDULED_CALLER_STEP, delay_ms);
+      = sim_schedule (sim, SCHEDULED_CALLER_STEP, delay_ms);
 
   scheduled->index = c->number;
   scheduled->id = ++c->next_step_id;
 }
 
 static void
-disconnect (World *w, WorldCaller *c)
+disconnect (Simulation *sim, SimCaller *c)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_CLOSE };
 
   if (c->node < 0)
     return;
   e.caller.caller = c->session;
-  g_hash_table_remove (w->sessions, &c->session);
-  if (w->nodes[c->node].incarnation == c->incarnation)
-    world_deliver (w, c->node, &e);
+  g_hash_table_remove (sim->sessions, &c->session);
+  if (sim->nodes[c->node].incarnation == c->incarnation)
+    sim_deliver (sim, c->node, &e);
   c->node = -1;
   c->open = false;
   c->waiting = false;
 }
 
 static void
-send_statement (World *w, WorldCaller *c, const char *sql)
+send_statement (Simulation *sim, SimCaller *c, const char *sql)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_STATEMENT };
 
   c->waiting = true;
-  c->statement_sent_ms = w->clock.now_ms;
-  w->report->statements++;
+  c->statement_sent_ms = sim->clock.now_ms;
+  sim->report->statements++;
   e.caller_statement.caller = c->session;
   e.caller_statement.sql = sql;
-  world_deliver (w, c->node, &e);
+  sim_deliver (sim, c->node, &e);
 }
 
 static void
-connect_caller (World *w, WorldCaller *c)
+connect_caller (Simulation *sim, SimCaller *c)
 {
   SsEvent e = { .kind = SS_EVENT_CALLER_OPEN };
-  int32_t node = world_random (w, 0, WORLD_NODES - 1);
+  int32_t node = sim_random (sim, 0, SIM_NODES - 1);
   const char *settings[] = { "token", c->token, NULL };
-  bool has_token = *c->token && world_chance (w, 500);
+  bool has_token = *c->token && sim_chance (sim, 500);
   char user[16];
 
-  if (!w->nodes[node].alive || w->nodes[node].paused_until_ms > w->clock.now_ms)
+  if (!sim->nodes[node].alive
+      || sim->nodes[node].paused_until_ms > sim->clock.now_ms)
     {
-      schedule_step (w, c, 50);
+      schedule_step (sim, c, 50);
       return;
     }
   c->node = node;
-  c->incarnation = w->nodes[node].incarnation;
-  c->session = ++w->next_session;
+  c->incarnation = sim->nodes[node].incarnation;
+  c->session = ++sim->next_session;
   c->open = false;
-  g_hash_table_insert (w->sessions, &c->session, c);
+  g_hash_table_insert (sim->sessions, &c->session, c);
   e.caller_open.caller = c->session;
   g_snprintf (user, sizeof user, "c%d",
-              w->params.broken == WORLD_BREAK_IDENTITY
-                  ? world_random (w, 0, WORLD_CALLERS - 1)
+              sim->params.defect == SIM_DEFECT_IDENTITY
+                  ? sim_random (sim, 0, SIM_CALLERS - 1)
                   : c->number);
   e.caller_open.service = "app";
   e.caller_open.user = user;
   e.caller_open.settings = has_token ? settings : NULL;
-  world_deliver (w, node, &e);
+  sim_deliver (sim, node, &e);
 }
 
 /* --- operations --- */
 
 static bool
-is_write (const WorldCaller *c)
+is_write (const SimCaller *c)
 {
   return c->op <= OP_TRANSACTION;
 }
 
-static SsFiling *
-pick_acknowledged (World *w, int64_t before_ms)
+static SsLedgerWrite *
+pick_acknowledged (Simulation *sim, int64_t before_ms)
 {
-  GPtrArray *all = w->ledger.acknowledged;
+  GPtrArray *all = sim->ledger.acknowledged;
 
   for (int32_t i = 0; all->len && i < 5; i++)
     {
-      SsFiling *f = g_ptr_array_index (
-          all, world_random (w, 0, (int32_t) all->len - 1));
+      SsLedgerWrite *f = g_ptr_array_index (
+          all, sim_random (sim, 0, (int32_t) all->len - 1));
 
       if (f->acknowledged_ms <= before_ms)
         return f;
@@ -105,26 +106,26 @@
 }
 
 static void
-choose_operation (World *w, WorldCaller *c)
+choose_operation (Simulation *sim, SimCaller *c)
 {
-  int32_t draw = world_random (w, 0, 99);
+  int32_t draw = sim_random (sim, 0, 99);
 
   c->expected = NULL;
   c->step = 0;
-  c->op_started_ms = w->clock.now_ms;
+  c->op_started_ms = sim->clock.now_ms;
   c->in_doubt = false;
   if (draw < 45 || c->is_final)
     {
       char key[40];
-      char partner[40];
+      char second_key[40];
 
       c->op = draw < 15 ? OP_WRITE
                         : (draw < 30 ? OP_WRITE_IDEMPOTENT : OP_TRANSACTION);
       c->sequence++;
       g_snprintf (key, sizeof key, "c%d-%d", c->number, c->sequence);
-      g_snprintf (partner, sizeof partner, "%s-b", key);
-      c->write = ss_ledger_add (&w->ledger, key,
-                                c->op == OP_TRANSACTION ? partner : NULL);
+      g_snprintf (second_key, sizeof second_key, "%s-b", key);
+      c->write = ss_ledger_add (&sim->ledger, key,
+                                c->op == OP_TRANSACTION ? second_key : NULL);
       return;
     }
   c->op = draw < 75 ? OP_READ_YOUR_WRITES
@@ -139,7 +140,7 @@
 }
 
 static char *
-write_sql (const WorldCaller *c)
+write_sql (const SimCaller *c)
 {
   static const char *const rest[] = { "BEGIN", NULL, NULL, "COMMIT" };
 
@@ -151,12 +152,12 @@
   if (c->step == 1)
     return insert_sql (c->write->key);
   if (c->step == 2)
-    return insert_sql (c->write->partner);
+    return insert_sql (c->write->second_key);
   return g_strdup (rest[c->step]);
 }
 
 static char *
-read_sql (World *w, WorldCaller *c)
+read_sql (Simulation *sim, SimCaller *c)
 {
   static const char *const kinds[] = { "session", "strict", "aged" };
 
@@ -169,13 +170,13 @@
     c->expected = c->last_acknowledged;
   else
     c->expected = pick_acknowledged (
-        w, w->clock.now_ms - (c->op == OP_READ_BOUNDED ? STALENESS_MS : 0));
+        sim, sim->clock.now_ms - (c->op == OP_READ_BOUNDED ? STALENESS_MS : 0));
   return g_strdup_printf ("SELECT value FROM t WHERE key = '%s'",
                           c->expected ? c->expected->key : "none");
 }
 
 static int32_t
-last_step (const WorldCaller *c)
+last_step (const SimCaller *c)
 {
   switch (c->op)
     {
@@ -191,27 +192,27 @@
 }
 
 static void
-send_next_statement (World *w, WorldCaller *c)
+send_next_statement (Simulation *sim, SimCaller *c)
 {
-  char *sql = is_write (c) ? write_sql (c) : read_sql (w, c);
+  char *sql = is_write (c) ? write_sql (c) : read_sql (sim, c);
 
-  send_statement (w, c, sql);
+  send_statement (sim, c, sql);
   g_free (sql);
 }
 
 static void
-end_operation (World *w, WorldCaller *c)
+end_operation (Simulation *sim, SimCaller *c)
 {
   c->write = NULL;
   c->expected = NULL;
   c->step = 0;
-  schedule_step (w, c, world_random (w, 1, 60));
+  schedule_step (sim, c, sim_random (sim, 1, 60));
 }
 
 /* --- replies --- */
 
 static void
-check_read (World *w, WorldCaller *c, const SsAction *a)
+check_read (Simulation *sim, SimCaller *c, const SsAction *a)
 {
   gsize bytes = 0;
   const char *data = a->bytes ? g_bytes_get_data (a->bytes, &bytes) : "";
@@ -219,148 +220,151 @@
 
   g_strchomp (value);
   if (c->expected && !*value)
-    world_violation (w, &w->report->stale,
-                     "operation %d of caller %d at node %d does not see %s",
-                     c->op, c->number, c->node, c->expected->key);
+    sim_violation (sim, &sim->report->stale,
+                   "operation %d of caller %d at node %d does not see %s",
+                   c->op, c->number, c->node, c->expected->key);
   else if (*value && (!c->expected || strcmp (value, c->expected->key) != 0))
-    world_violation (w, &w->report->crossed, "caller %d read %s instead of %s",
-                     c->number, value, c->expected ? c->expected->key : "none");
+    sim_violation (sim, &sim->report->crossed,
+                   "caller %d read %s instead of %s", c->number, value,
+                   c->expected ? c->expected->key : "none");
   g_free (value);
 }
 
 static void
-operation_succeeded (World *w, WorldCaller *c)
+operation_succeeded (Simulation *sim, SimCaller *c)
 {
-  w->report->acknowledged++;
+  sim->report->acknowledged++;
   if (is_write (c))
     {
-      ss_ledger_acknowledge (&w->ledger, c->write, w->clock.now_ms);
+      ss_ledger_acknowledge (&sim->ledger, c->write, sim->clock.now_ms);
       c->last_acknowledged = c->write;
       if (c->is_final)
-        w->report->recovered = true;
+        sim->report->recovered = true;
     }
-  end_operation (w, c);
+  end_operation (sim, c);
 }
 
 static bool
-stops_retrying (const World *w, const WorldCaller *c)
+stops_retrying (const Simulation *sim, const SimCaller *c)
 {
-  return w->closing || w->clock.now_ms - c->op_started_ms > RETRY_LIMIT_MS;
+  return sim->closing || sim->clock.now_ms - c->op_started_ms > RETRY_LIMIT_MS;
 }
 
 /* Retries an operation that is safe to retry, or records its outcome. */
 static void
-operation_failed (World *w, WorldCaller *c, SsVerdict verdict,
+operation_failed (Simulation *sim, SimCaller *c, SsVerdict verdict,
                   uint32_t retry_after_ms)
 {
   bool not_run = verdict == SS_VERDICT_NOT_RUN;
 
   if (not_run)
-    w->report->not_run++;
+    sim->report->not_run++;
   else
-    w->report->may_have_run++;
+    sim->report->may_have_run++;
   c->step = 0;
   if (!is_write (c))
     {
-      disconnect (w, c);
-      end_operation (w, c);
+      disconnect (sim, c);
+      end_operation (sim, c);
       return;
     }
   if (!not_run)
     c->in_doubt = true;
-  if ((not_run || c->op == OP_WRITE_IDEMPOTENT) && !stops_retrying (w, c))
+  if ((not_run || c->op == OP_WRITE_IDEMPOTENT) && !stops_retrying (sim, c))
     {
-      schedule_step (w, c, MAX (retry_after_ms, 5));
+      schedule_step (sim, c, MAX (retry_after_ms, 5));
       return;
     }
-  c->write->fate = c->in_doubt ? SS_FATE_UNKNOWN : SS_FATE_NOT_RUN;
-  end_operation (w, c);
+  c->write->outcome = c->in_doubt ? SS_WRITE_UNKNOWN : SS_WRITE_NOT_RUN;
+  end_operation (sim, c);
 }
 
 static void
-check_lateness (World *w, const WorldCaller *c)
+check_lateness (Simulation *sim, const SimCaller *c)
 {
-  if (w->clock.now_ms - c->statement_sent_ms <= DEADLINE_MS + LATENESS_LIMIT_MS)
+  if (sim->clock.now_ms - c->statement_sent_ms
+      <= DEADLINE_MS + LATENESS_LIMIT_MS)
     return;
   /* With faults, the entry VM may be paused and sends no replies. */
-  if (w->params.faults)
+  if (sim->params.faults)
     return;
-  world_violation (w, &w->report->late, "caller %d waited %d ms for a reply",
-                   c->number, (int) (w->clock.now_ms - c->statement_sent_ms));
+  sim_violation (sim, &sim->report->late, "caller %d waited %d ms for a reply",
+                 c->number, (int) (sim->clock.now_ms - c->statement_sent_ms));
 }
 
 static void
-handle_reply (World *w, WorldCaller *c, const SsAction *a)
+handle_reply (Simulation *sim, SimCaller *c, const SsAction *a)
 {
   if (!c->open)
     {
       c->open = a->verdict == SS_VERDICT_RAN;
       if (c->open)
-        schedule_step (w, c, 1);
+        schedule_step (sim, c, 1);
       return;
     }
   c->waiting = false;
-  check_lateness (w, c);
+  check_lateness (sim, c);
   if (a->verdict != SS_VERDICT_RAN)
     {
       if (a->transaction_status != 'I')
-        disconnect (w, c);
-      operation_failed (w, c, a->verdict, a->retry_after_ms);
+        disconnect (sim, c);
+      operation_failed (sim, c, a->verdict, a->retry_after_ms);
       return;
     }
   if (!is_write (c) && c->step == 1)
-    check_read (w, c, a);
+    check_read (sim, c, a);
   if (c->step++ == last_step (c))
-    operation_succeeded (w, c);
+    operation_succeeded (sim, c);
   else
-    schedule_step (w, c, 1);
+    schedule_step (sim, c, 1);
 }
 
 /* The connection to the entry VM is lost.  Of a pending statement, only a
  * COMMIT or a statement outside a transaction may have taken effect.
  */
 static void
-entry_lost (World *w, WorldCaller *c)
+entry_lost (Simulation *sim, SimCaller *c)
 {
   bool was_waiting = c->waiting;
   bool may_have_run = was_waiting && c->step == last_step (c);
 
-  g_hash_table_remove (w->sessions, &c->session);
+  g_hash_table_remove (sim->sessions, &c->session);
   c->node = -1;
   c->open = false;
   c->waiting = false;
   if (was_waiting || (c->write && c->step > 0))
     operation_failed (
-        w, c, may_have_run ? SS_VERDICT_MAY_HAVE_RUN : SS_VERDICT_NOT_RUN, 20);
+        sim, c, may_have_run ? SS_VERDICT_MAY_HAVE_RUN : SS_VERDICT_NOT_RUN,
+        20);
   else
-    schedule_step (w, c, 20);
+    schedule_step (sim, c, 20);
 }
 
 void
-world_callers_node_crashed (World *w, int32_t node)
+sim_callers_node_crashed (Simulation *sim, int32_t node)
 {
-  for (int32_t i = 0; i < WORLD_CALLERS; i++)
-    if (w->callers[i].node == node)
-      entry_lost (w, &w->callers[i]);
+  for (int32_t i = 0; i < SIM_CALLERS; i++)
+    if (sim->callers[i].node == node)
+      entry_lost (sim, &sim->callers[i]);
 }
 
 void
-world_caller_action (World *w, int32_t node, const SsAction *a)
+sim_caller_action (Simulation *sim, int32_t node, const SsAction *a)
 {
-  WorldCaller *c = g_hash_table_lookup (w->sessions, &a->id);
+  SimCaller *c = g_hash_table_lookup (sim->sessions, &a->id);
 
   if (!c || c->node != node)
     return;
   switch (a->kind)
     {
     case SS_ACTION_CALLER_REPLY:
-      handle_reply (w, c, a);
+      handle_reply (sim, c, a);
       break;
     case SS_ACTION_CALLER_PARAMETER:
       g_strlcpy (c->token, a->text, sizeof c->token);
       break;
     default:
-      entry_lost (w, c);
+      entry_lost (sim, c);
       break;
     }
 }
@@ -368,41 +372,41 @@
 /* --- scheduling and final checks --- */
 
 void
-world_caller_handle (World *w, ScheduledEvent *scheduled)
+sim_caller_handle (Simulation *sim, ScheduledEvent *scheduled)
 {
-  WorldCaller *c = &w->callers[scheduled->index];
+  SimCaller *c = &sim->callers[scheduled->index];
 
   if (c->waiting || scheduled->id != c->next_step_id)
     return;
-  if (w->closing && !c->is_final && !c->write)
+  if (sim->closing && !c->is_final && !c->write)
     return;
   if (c->node >= 0 && !c->write && !c->expected && c->step == 0
-      && world_chance (w, 120))
-    disconnect (w, c);
+      && sim_chance (sim, 120))
+    disconnect (sim, c);
   if (c->node < 0)
     {
-      connect_caller (w, c);
+      connect_caller (sim, c);
       return;
     }
-  if (!c->open || w->nodes[c->node].paused_until_ms > w->clock.now_ms)
+  if (!c->open || sim->nodes[c->node].paused_until_ms > sim->clock.now_ms)
     {
-      schedule_step (w, c, 50);
+      schedule_step (sim, c, 50);
       return;
     }
   if (!c->write && c->step == 0)
-    choose_operation (w, c);
-  send_next_statement (w, c);
+    choose_operation (sim, c);
+  send_next_statement (sim, c);
 }
 
 void
-world_callers_init (World *w)
+sim_callers_init (Simulation *sim)
 {
-  w->sessions = g_hash_table_new (g_int64_hash, g_int64_equal);
-  for (int32_t i = 0; i < WORLD_CALLERS; i++)
+  sim->sessions = g_hash_table_new (g_int64_hash, g_int64_equal);
+  for (int32_t i = 0; i < SIM_CALLERS; i++)
     {
-      w->callers[i].number = i;
-      w->callers[i].node = -1;
-      schedule_step (w, &w->callers[i], world_random (w, 0, 100));
+      sim->callers[i].number = i;
+      sim->callers[i].node = -1;
+      schedule_step (sim, &sim->callers[i], sim_random (sim, 0, 100));
     }
 }
 
@@ -410,14 +414,14 @@
  * others finish their current operation.
  */
 void
-world_callers_start_final_write (World *w)
+sim_callers_start_final_write (Simulation *sim)
 {
-  WorldCaller *c = &w->callers[0];
+  SimCaller *c = &sim->callers[0];
 
-  w->closing = true;
+  sim->closing = true;
   c->is_final = true;
   if (!c->waiting && !c->write)
-    schedule_step (w, c, 1);
+    schedule_step (sim, c, 1);
 }
 
 static void
@@ -429,26 +433,26 @@
 }
 
 void
-world_callers_check_rows (World *w)
+sim_callers_check_rows (Simulation *sim)
 {
   GHashTable *counts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  int32_t primary = world_primary (w);
+  int32_t primary = sim_primary (sim);
   GHashTable *table
       = primary < 0 ? NULL
-                    : ss_store_table (&w->servers[primary].server.store, "t");
-  WorldReport *r = w->report;
+                    : ss_store_table (&sim->servers[primary].server.store, "t");
+  SimReport *r = sim->report;
 
   if (table)
     g_hash_table_foreach (table, count_row, counts);
-  ss_ledger_compare (&w->ledger, counts);
-  r->lost += w->ledger.lost;
-  r->doubled += w->ledger.doubled;
-  r->mixed += w->ledger.mixed;
-  r->ran_though_not_run += w->ledger.ran_though_not_run;
-  for (int32_t i = 0; i < WORLD_NODES; i++)
-    if (w->nodes[i].alive)
+  ss_ledger_compare (&sim->ledger, counts);
+  r->lost += sim->ledger.lost;
+  r->doubled += sim->ledger.doubled;
+  r->mixed += sim->ledger.mixed;
+  r->ran_though_not_run += sim->ledger.ran_though_not_run;
+  for (int32_t i = 0; i < SIM_NODES; i++)
+    if (sim->nodes[i].alive)
       r->replica_reads
-          += w->nodes[i].core.counters.values[SS_COUNTER_READS_REPLICA];
+          += sim->nodes[i].core.counters.values[SS_COUNTER_READS_REPLICA];
   g_hash_table_destroy (counts);
 }
--- a/tests/test_histories.c
+++ b/tests/test_histories.c
@@ -2,18 +2,18 @@
  * one safety mechanism and requires that the checks detect the violations.
  */
 #include "tests/unit.h"
-#include "tests/world.h"
+#include "tests/sim.h"
 
 #define FIRST_SEED 1
 #define BROKEN_SEEDS 40
 #define BUSY_MS 8000
 
 static void
-run (uint32_t seed, WorldBreak broken, WorldReport *report)
+run (uint32_t seed, SimDefect defect, SimReport *report)
 {
-  WorldParams params = { seed, true, BUSY_MS, broken };
+  SimParams params = { seed, true, BUSY_MS, defect };
 
-  world_run (&params, report);
+  sim_run (&params, report);
 }
 
 static void
@@ -21,11 +21,11 @@
 {
   for (uint32_t seed = FIRST_SEED; seed < FIRST_SEED + 3; seed++)
     {
-      WorldReport a;
-      WorldReport b;
+      SimReport a;
+      SimReport b;
 
-      run (seed, WORLD_BREAK_NONE, &a);
-      run (seed, WORLD_BREAK_NONE, &b);
+      run (seed, SIM_DEFECT_NONE, &a);
+      run (seed, SIM_DEFECT_NONE, &b);
       CU_ASSERT (a.actions_hash != 0);
       CU_ASSERT (a.actions_hash == b.actions_hash);
     }
@@ -35,41 +35,41 @@
  * check READ finds violations.  Returns their number.
  */
 static uint64_t
-count_violations (WorldBreak broken, uint64_t (*read) (const WorldReport *r))
+count_violations (SimDefect defect, uint64_t (*read) (const SimReport *r))
 {
   uint64_t sum = 0;
 
   for (uint32_t seed = FIRST_SEED; seed < FIRST_SEED + BROKEN_SEEDS && sum == 0;
        seed++)
     {
-      WorldReport r;
+      SimReport r;
 
-      run (seed, broken, &r);
+      run (seed, defect, &r);
       sum += read (&r);
     }
   return sum;
 }
 
 static uint64_t
-lost (const WorldReport *r)
+lost (const SimReport *r)
 {
   return r->lost;
 }
 
 static uint64_t
-doubled (const WorldReport *r)
+doubled (const SimReport *r)
 {
   return r->doubled;
 }
 
 static uint64_t
-stale (const WorldReport *r)
+stale (const SimReport *r)
 {
   return r->stale;
 }
 
 static uint64_t
-crossed (const WorldReport *r)
+crossed (const SimReport *r)
 {
   return r->crossed;
 }
@@ -77,43 +77,43 @@
 static void
 false_log_positions_lose_writes (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_HELD, lost) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_HELD_POSITION, lost) > 0);
 }
 
 static void
 unfenced_primary_loses_writes (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_TERM, lost) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_FENCING, lost) > 0);
 }
 
 static void
 unenforced_idempotency_keys_double_writes (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_REQUEST, doubled) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_IDEMPOTENCY, doubled) > 0);
 }
 
 static void
 false_applied_positions_give_stale_reads (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_APPLIED, stale) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_APPLIED_POSITION, stale) > 0);
 }
 
 static void
 crossed_answers_are_detected (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_ANSWER, crossed) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_RESULT, crossed) > 0);
 }
 
 static void
 partial_commits_are_detected (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_COMMIT, lost) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_ATOMICITY, lost) > 0);
 }
 
 static void
 swapped_identities_give_stale_reads (void)
 {
-  CU_ASSERT (count_violations (WORLD_BREAK_IDENTITY, stale) > 0);
+  CU_ASSERT (count_violations (SIM_DEFECT_IDENTITY, stale) > 0);
 }
 
 CU_TestInfo test_histories[] = {
