--- a/src/core/choice.c
+++ b/src/core/choice.c
@@ -3,12 +3,15 @@
 
 #include "core/internal.h"
 
-#define VIEW_STALE_MS 3000
+/* A server whose last answer is older than this is not selected. */
+#define REACHABLE_MAX_AGE_MS 3000
+/* Load, in requests, of a server in another failure domain. */
 #define REMOTE_LOAD 4
+/* Queueing time that counts as the load of one request. */
 #define WAIT_MS_PER_LOAD 5
 
 /* Expected costs of a read whose target checks the floor, in milliseconds. */
-/* Round trip between regions. */
+/* Round trip between failure domains. */
 #define REMOTE_MS 16
 /* Reserves capacity of the primary for writes. */
 #define PRIMARY_MS 15
@@ -32,7 +35,7 @@
 is_usable (SsNode *node, SsTarget *t)
 {
   return !t->draining && t->state.reachable
-         && node->now_ms - t->reachable_ms < VIEW_STALE_MS
+         && node->now_ms - t->reachable_ms < REACHABLE_MAX_AGE_MS
          && ss_node_owner (node, t) != NULL;
 }
 
--- a/src/core/confirmed.c
+++ b/src/core/confirmed.c
@@ -17,27 +17,29 @@
 SsConfirmedPositions *
 ss_confirmed_get (SsNode *node, const char *group)
 {
-  SsConfirmedPositions *m = g_tree_lookup (node->confirmed_positions, group);
-
-  if (m)
-    return m;
-  m = g_new0 (SsConfirmedPositions, 1);
-  m->group = g_strdup (group);
-  m->identities = g_ptr_array_new_with_free_func (g_free);
-  m->floors = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_tree_insert (node->confirmed_positions, m->group, m);
-  return m;
+  SsConfirmedPositions *confirmed
+      = g_tree_lookup (node->confirmed_positions, group);
+
+  if (confirmed)
+    return confirmed;
+  confirmed = g_new0 (SsConfirmedPositions, 1);
+  confirmed->group = g_strdup (group);
+  confirmed->identities = g_ptr_array_new_with_free_func (g_free);
+  confirmed->floors
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  g_tree_insert (node->confirmed_positions, confirmed->group, confirmed);
+  return confirmed;
 }
 
 void
 ss_confirmed_free (gpointer confirmed)
 {
-  SsConfirmedPositions *m = confirmed;
+  SsConfirmedPositions *positions = confirmed;
 
-  g_ptr_array_free (m->identities, TRUE);
-  g_hash_table_destroy (m->floors);
-  g_free (m->group);
-  g_free (m);
+  g_ptr_array_free (positions->identities, TRUE);
+  g_hash_table_destroy (positions->floors);
+  g_free (positions->group);
+  g_free (positions);
 }
 
 SsPosition
@@ -48,6 +50,9 @@
   return floor ? *floor : confirmed->latest.position;
 }
 
+/* Sends a MarkAsk, the request for a confirmed position, to the owner of the
+ * primary.  Without an owner it counts as sent, and is repeated on time-out.
+ */
 static void
 send_mark_ask (SsNode *node, SsConfirmedPositions *confirmed)
 {
@@ -74,8 +79,8 @@
   ss_node_send (node, owner, &e);
 }
 
-/* One request is outstanding at a time; callers that come meanwhile share the
- * next one.
+/* At most one request for each group is outstanding.  Requests made meanwhile
+ * are combined into the next one.
  */
 void
 ss_confirmed_request (SsNode *node, SsConfirmedPositions *confirmed)
@@ -95,77 +100,85 @@
 }
 
 static void
-add_to_ring (SsConfirmedPositions *m)
+add_to_ring (SsConfirmedPositions *confirmed)
 {
   /* Also true where the latest reply is older than the last one in the ring. */
-  if (m->count
-      && m->latest.asked_ms - m->ring[m->count - 1].asked_ms < RING_SPACING_MS)
+  if (confirmed->count
+      && confirmed->latest.requested_ms
+                 - confirmed->ring[confirmed->count - 1].requested_ms
+             < RING_SPACING_MS)
     return;
-  if (m->count == SS_CONFIRMED_MAX)
+  if (confirmed->count == SS_CONFIRMED_MAX)
     {
-      memmove (&m->ring[0], &m->ring[1],
-               sizeof m->ring[0] * (SS_CONFIRMED_MAX - 1));
-      m->count--;
+      memmove (&confirmed->ring[0], &confirmed->ring[1],
+               sizeof confirmed->ring[0] * (SS_CONFIRMED_MAX - 1));
+      confirmed->count--;
     }
-  m->ring[m->count++] = m->latest;
+  confirmed->ring[confirmed->count++] = confirmed->latest;
 }
 
 void
 ss_confirmed_handle_unsolicited (SsNode *node, const char *group,
                                  SsPosition position, uint32_t age_ms)
 {
-  SsConfirmedPositions *m = g_tree_lookup (node->confirmed_positions, group);
-  int64_t asked_ms = node->now_ms - age_ms - UNSOLICITED_DELAY_MS;
+  SsConfirmedPositions *confirmed
+      = g_tree_lookup (node->confirmed_positions, group);
+  int64_t requested_ms = node->now_ms - age_ms - UNSOLICITED_DELAY_MS;
 
-  if (!m || asked_ms <= m->latest.asked_ms)
+  if (!confirmed || requested_ms <= confirmed->latest.requested_ms)
     return;
-  /* It answers no request: only its age counts. */
-  m->latest.asked_ms = asked_ms;
-  m->latest.position = position;
-  m->latest.seq = MAX (m->latest.seq, 1);
-  add_to_ring (m);
+  /* It answers no request, so only its age counts; seq 1 marks that a position
+   * is known.
+   */
+  confirmed->latest.requested_ms = requested_ms;
+  confirmed->latest.position = position;
+  confirmed->latest.seq = MAX (confirmed->latest.seq, 1);
+  add_to_ring (confirmed);
   ss_pending_wake (node, group, SS_WAIT_CONFIRMED);
 }
 
 static void
-store_floors (SsConfirmedPositions *m, const Ss__Peer__MarkReply *reply)
+store_floors (SsConfirmedPositions *confirmed, const Ss__Peer__MarkReply *reply)
 {
-  g_hash_table_remove_all (m->floors);
-  if (reply->n_floors != m->identities->len)
+  g_hash_table_remove_all (confirmed->floors);
+  if (reply->n_floors != confirmed->identities->len)
     return;
-  for (guint i = 0; i < m->identities->len; i++)
+  for (guint i = 0; i < confirmed->identities->len; i++)
     {
       SsPosition *floor = g_new (SsPosition, 1);
 
       *floor = ss_position_unpack (reply->floors[i]);
       g_hash_table_replace (
-          m->floors, g_strdup (g_ptr_array_index (m->identities, i)), floor);
+          confirmed->floors,
+          g_strdup (g_ptr_array_index (confirmed->identities, i)), floor);
     }
 }
 
-/* The position comes from replies that servers gave after the request was sent,
- * so it covers every write acknowledged before that.
+/* The position covers every write that was acknowledged before requested_ms.
+ * Either servers gave it after the request was sent, or the owner holds a lease
+ * and took it from the primary's response to a statement sent age_ms earlier.
  */
 void
 ss_confirmed_handle_reply (SsNode *node, const Ss__Peer__MarkReply *reply)
 {
-  SsConfirmedPositions *m
+  SsConfirmedPositions *confirmed
       = g_tree_lookup (node->confirmed_positions, reply->group);
 
-  if (!m || !m->outstanding || reply->nonce != m->last_seq)
+  if (!confirmed || !confirmed->outstanding
+      || reply->nonce != confirmed->last_seq)
     {
       ss_node_count (node, SS_COUNTER_LATE_ANSWERS);
       return;
     }
-  m->outstanding = false;
-  m->latest.seq = m->last_seq;
-  m->latest.asked_ms = m->last_sent_ms - reply->age_ms;
-  m->latest.position = ss_position_unpack (reply->mark);
-  add_to_ring (m);
-  store_floors (m, reply);
+  confirmed->outstanding = false;
+  confirmed->latest.seq = confirmed->last_seq;
+  confirmed->latest.requested_ms = confirmed->last_sent_ms - reply->age_ms;
+  confirmed->latest.position = ss_position_unpack (reply->mark);
+  add_to_ring (confirmed);
+  store_floors (confirmed, reply);
   ss_pending_wake (node, reply->group, SS_WAIT_CONFIRMED);
-  if (m->requested_again && !m->outstanding)
-    send_mark_ask (node, m);
+  if (confirmed->requested_again && !confirmed->outstanding)
+    send_mark_ask (node, confirmed);
 }
 
 bool
@@ -174,11 +187,12 @@
 {
   for (uint32_t i = 0; i < confirmed->count; i++)
     {
-      if (confirmed->ring[i].asked_ms < since_ms)
+      if (confirmed->ring[i].requested_ms < since_ms)
         continue;
       *found = confirmed->ring[i];
       return true;
     }
   *found = confirmed->latest;
-  return confirmed->latest.seq != 0 && confirmed->latest.asked_ms >= since_ms;
+  return confirmed->latest.seq != 0
+         && confirmed->latest.requested_ms >= since_ms;
 }
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -14,10 +14,12 @@
 
 struct SsDialect
 {
-  /* The functions that return text build a statement, to be freed by the
-   * caller.
+  /* The functions that return text build a statement, to be freed with g_free.
    */
   char *(*status) (const SsDialect *dialect);
+  /* Fences TARGET at TERM: a primary of a lower term is one no longer, and a
+   * replica takes no log of lower terms.
+   */
   char *(*raise) (const SsDialect *dialect, const SsTarget *target,
                   uint64_t term);
   char *(*promote) (const SsDialect *dialect, uint64_t term);
@@ -62,12 +64,12 @@
    */
   char *(*reconcile) (const SsDialect *dialect, const SsTarget *target,
                       const SsTarget *primary, uint64_t term);
-  /* The platform promotes servers, and they count the terms themselves. */
+  /* The platform promotes servers, and the servers number the terms. */
   bool platform_promotes;
 };
 
 /* ss_dialect_multiplexes_sessions: whether DIALECT has the optional functions,
- * so that session state is tracked at the entry VM.
+ * so that the entry VM tracks session state and sessions share connections.
  */
 static inline bool
 ss_dialect_multiplexes_sessions (const SsDialect *dialect)
@@ -75,8 +77,8 @@
   return dialect->parse != NULL;
 }
 
-/* ss_dialect_sql: returns the dialect in plain SQL, which calls functions and
- * keeps request records in a table of the servers.
+/* ss_dialect_sql: returns the dialect in plain SQL.  It calls functions of the
+ * servers and keeps request records in one of their tables.
  */
 const SsDialect *ss_dialect_sql (void);
 
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -145,7 +145,7 @@
   s->user = g_strdup (user ? user : "");
   s->deadline_ms = node->params.deadline_ms;
   s->status = 'I';
-  /* Where sessions are tracked there are no session tokens: a session is one
+  /* A dialect that multiplexes sessions has no session tokens: a session is one
    * connection of its caller and has no earlier writes to see.
    */
   s->floor_known = ss_dialect_multiplexes_sessions (node->dialect);
@@ -277,15 +277,15 @@
 {
   bool is_safe = verdict == SS_VERDICT_NOT_RUN
                  || (verdict == SS_VERDICT_MAY_HAVE_RUN && r->is_read);
-  bool tracks_sessions = ss_dialect_multiplexes_sessions (node->dialect);
+  bool multiplexes_sessions = ss_dialect_multiplexes_sessions (node->dialect);
 
   /* A transaction stays on the connection that ran its first statement.  A
-   * write is retried only where the dialect tracks sessions, and not while the
-   * primary is overloaded or lacks a majority.
+   * write is retried only where the dialect multiplexes sessions, and not while
+   * the primary is overloaded or lacks a majority.
    */
   if (!is_safe || r->session->pinned_vm || (r->begins && sent)
       || (!r->is_read
-          && (!tracks_sessions || reason == SS_REASON_OVERLOAD
+          && (!multiplexes_sessions || reason == SS_REASON_OVERLOAD
               || reason == SS_REASON_NO_MAJORITY))
       || reason == SS_REASON_TARGET_ERROR || reason == SS_REASON_CANCELLED
       || reason == SS_REASON_DEADLINE || r->tries >= SS_REQUEST_TRIES_MAX
--- a/src/core/entry.h
+++ b/src/core/entry.h
@@ -15,7 +15,7 @@
  */
 const char *ss_session_set (SsNode *node, SsSession *s, const char *name,
                             const char *value);
-/* ss_session_run_local: answers SET, RESET or SHOW of sapphirestair.*. */
+/* ss_session_run_setting: answers SET, RESET or SHOW of sapphirestair.*. */
 void ss_session_run_setting (SsNode *node, SsSession *s,
                              const SsSettingStatement *setting);
 /* ss_session_replace_text: frees *FIELD and sets it to a copy of VALUE, or to
@@ -23,6 +23,8 @@
  */
 void ss_session_replace_text (char **field, const char *value);
 
+/* --- entry.c --- */
+
 /* ss_entry_refuse_open: refuses and disconnects CALLER, which has no session.
  * TEXT may be NULL.
  */
@@ -41,6 +43,9 @@
 /* ss_session_statement: runs TEXT, where the dialect parses statements. */
 void ss_session_statement (SsNode *node, SsSession *s, const char *label,
                            const char *text);
+
+/* --- entry.c --- */
+
 /* ss_entry_create_request: creates a request of S.  Its fields can be changed
  * until ss_entry_dispatch.
  */
@@ -49,7 +54,7 @@
 /* ss_entry_dispatch: classifies and routes R. */
 void ss_entry_dispatch (SsNode *node, SsRequest *r);
 
-/* --- request.c --- */
+/* --- request.c; ss_request_may_retry, _retry and _cancel are in entry.c --- */
 
 SsGroup *ss_session_group (SsNode *node, const SsSession *s);
 /* ss_session_identity: returns the user name where the service tells callers
@@ -76,8 +81,8 @@
  * connection closed.
  */
 void ss_session_lose_transaction (SsNode *node, SsSession *s);
-/* ss_session_note_loss_reported: notes that the reply to SQL tells the caller
- * of the lost transaction.  Leaves no transaction where SQL ends it.
+/* ss_session_note_loss_reported: records that the reply to SQL tells the caller
+ * of the lost transaction.  S becomes idle if SQL ends the transaction.
  */
 void ss_session_note_loss_reported (SsSession *s, const char *sql);
 /* ss_session_raise_floor: raises the minimum position for reads of S. */
@@ -86,9 +91,11 @@
 void ss_session_send_token (SsNode *node, const SsSession *s);
 
 void ss_request_free (SsRequest *r);
-/* ss_request_log_span: logs the tracing span of R, where spans are on. */
+/* ss_request_log_span: logs the tracing span of R, if log.spans is set. */
 void ss_request_log_span (SsNode *node, const SsRequest *r, SsVerdict verdict);
-/* ss_request_log_end: logs how R ended, and why. */
+/* ss_request_log_end: logs how and why R ended, and its tracing span if
+ * log.spans is set.
+ */
 void ss_request_log_end (SsNode *node, const SsRequest *r, SsVerdict verdict,
                          SsReason reason);
 /* ss_request_may_retry: whether R, which ended with VERDICT and REASON, may be
@@ -111,12 +118,14 @@
 void ss_request_end_wait (SsNode *node, SsRequest *r);
 /* ss_request_drop: removes and frees R without a reply. */
 void ss_request_drop (SsNode *node, SsRequest *r);
-/* ss_request_finish: ends R and replies to the caller without a result. */
+/* ss_request_finish: ends R, frees it and replies to the caller without a
+ * result.
+ */
 void ss_request_finish (SsNode *node, SsRequest *r, SsVerdict verdict,
                         SsReason reason, uint32_t retry_after_ms);
-/* ss_request_abandon: ends R, which may be at its owner, and loses the
- * transaction.  The verdict is SS_VERDICT_MAY_HAVE_RUN where R was sent and its
- * effect may be durable.
+/* ss_request_abandon: finishes R, which may be at its owner, and marks the
+ * session's transaction as lost.  The verdict is SS_VERDICT_MAY_HAVE_RUN where
+ * R was sent and its effect may be durable.
  */
 void ss_request_abandon (SsNode *node, SsRequest *r, SsReason reason);
 
@@ -132,8 +141,9 @@
 bool ss_route_classify (SsNode *node, SsRequest *r);
 /* ss_route: sends R to the owner of a target, has it wait, or refuses it. */
 void ss_route (SsNode *node, SsRequest *r);
-/* ss_route_await_primary: has R, which its primary refused, wait for the
- * primary's next status report or for a failover; or refuses it.
+/* ss_route_await_primary: has R, which its primary refused, wait until the
+ * group has a usable primary.  Refuses R at once if none is expected before its
+ * deadline.
  */
 void ss_route_await_primary (SsNode *node, SsRequest *r);
 
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -9,7 +9,7 @@
 #include "core/writers.h"
 #include "proto/peer.pb-c.h"
 
-/* Retry-after hints to callers. */
+/* Retry-after hints to callers, in milliseconds. */
 #define SS_RETRY_SOON_MS 100
 #define SS_RETRY_PROMOTION_MS 250
 
@@ -52,7 +52,7 @@
   SS_WAIT_NONE,
   SS_WAIT_CONFIRMED, /* a confirmed position of the primary */
   SS_WAIT_STATUS,    /* the first status report of the group's servers */
-  SS_WAIT_PRIMARY    /* a failover that is under way */
+  SS_WAIT_PRIMARY    /* a usable primary, during a failover */
 } SsWait;
 
 typedef struct
@@ -70,9 +70,10 @@
   bool floor_known;
   uint64_t open_seq; /* SsConfirmedPositions.last_seq when the session opened:
                         later confirmed positions cover what came before it */
-  char *floor_group; /* the group whose log floor refers to; NULL: none */
+  char *floor_group; /* the group whose log floor refers to; NULL: not known
+                        before the first statement */
   SsSessionState state; /* settings and prepared statements, where the dialect
-                           tracks sessions */
+                           multiplexes sessions */
   bool begin_due;       /* BEGIN is sent with the next statement */
   bool begin_is_read;
   bool begin_wrote; /* a statement of the transaction may have written */
@@ -90,31 +91,36 @@
 
 #define SS_REQUEST_TRIES_MAX 4
 
+/* A statement of a caller, at its entry VM. */
 struct SsRequest
 {
   uint64_t id; /* of the current try; each try has its own */
   SsSession *session;
   char *label; /* the caller's id of the statement; NULL: none */
   char *sql;
-  char *shape; /* of the prepared statement that it executes; NULL: none */
+  char *shape; /* SsPrepared.shape of the prepared statement that it executes;
+                  NULL: none */
   bool shape_is_read;
   bool begins;  /* BEGIN is sent before it */
-  bool keeps;   /* its effect may be durable: COMMIT, or a write outside of a
-                   transaction */
-  bool confirm; /* runs only after the target was confirmed as the primary,
-                   later than the request arrived */
+  bool keeps;   /* its effect may be durable: COMMIT of a transaction that may
+                   have written, a write outside of a transaction, or any
+                   statement if the dialect does not parse statements */
+  bool confirm; /* runs only once the owner has confirmed the target as the
+                   primary, after it received the request */
   bool is_read;
-  int64_t staleness_ms; /* bound of its kind; 0: the session's floor counts */
+  int64_t staleness_ms; /* bound on staleness, from its kind; 0: the session's
+                           floor counts */
   bool strict;
-  uint64_t start_seq; /* SsConfirmedPositions.last_seq when it arrived */
-  SsPosition floor;
+  uint64_t start_seq; /* SsConfirmedPositions.last_seq when it arrived, or when
+                         its transaction began */
+  SsPosition floor;   /* minimum position that it must see, if it is a read */
   SsWait wait;
   int64_t wait_due_ms;
   int64_t started_ms;
   int64_t deadline_ms;
   char *vm; /* owner that it was sent to; NULL: not sent */
   char *target;
-  uint32_t tries; /* that failed, on the targets in tried */
+  uint32_t tries; /* failed tries, on the targets in tried */
   char *tried[SS_REQUEST_TRIES_MAX];
   char trace[33];
 };
@@ -134,8 +140,8 @@
  * transaction.
  */
 void ss_entry_end_idle (SsNode *node, uint32_t count);
-/* ss_entry_stop: ends idle sessions, or all with FORCE.  Returns whether none
- * is left.
+/* ss_entry_stop: ends the idle sessions, or with FORCE all sessions.  Returns
+ * whether no session is left.
  */
 bool ss_entry_stop (SsNode *node, bool force);
 /* ss_entry_uses_group: whether a session here has used GROUP. */
@@ -225,11 +231,13 @@
 
 #define SS_CONFIRMED_MAX 64
 
-/* A position that was the primary's last one at asked_ms or later. */
+/* A position that was the primary's last one at requested_ms or later.  The
+ * primary's owner gives it in reply to a MarkAsk, or unsolicited.
+ */
 typedef struct
 {
   uint64_t seq; /* of the request that it answers; 0: there is none yet */
-  int64_t asked_ms;
+  int64_t requested_ms;
   SsPosition position;
 } SsConfirmedPosition;
 
@@ -238,9 +246,9 @@
   char *group;
   SsConfirmedPosition latest;
   SsConfirmedPosition
-      ring[SS_CONFIRMED_MAX]; /* at a minimum distance in time, oldest first */
+      ring[SS_CONFIRMED_MAX]; /* spaced by a minimum time, oldest first */
   uint32_t count;
-  uint64_t last_seq; /* number of the last request sent */
+  uint64_t last_seq; /* sequence number of the last request sent */
   int64_t last_sent_ms;
   GPtrArray *identities; /* callers whose floors the last request asks for */
   GHashTable *floors;    /* identity -> SsPosition, of the last reply */
@@ -272,7 +280,7 @@
 SsPosition ss_confirmed_floor (const SsConfirmedPositions *confirmed,
                                const char *identity);
 void ss_confirmed_free (gpointer confirmed);
-/* ss_confirmed_retry: repeats a request that got no reply in time. */
+/* ss_confirmed_retry: repeats the request if it got no reply in time. */
 void ss_confirmed_retry (SsNode *node, SsConfirmedPositions *confirmed);
 
 /* --- owner.c: connections and statements at the targets owned here --- */
@@ -384,7 +392,7 @@
   GPtrArray *requesters; /* of SsStatusRequest, with held unset */
   GPtrArray *next;       /* arrived while the round ran; get the next round */
   bool running;
-  uint64_t ask;
+  uint64_t request_id; /* of the round's status requests */
   int64_t started_ms;
   int64_t due_ms;
   uint32_t confirmed; /* bit set of servers that showed no higher term */
@@ -469,8 +477,8 @@
  */
 void ss_quorum_confirm (SsNode *node, SsJob *job);
 /* ss_quorum_position: sets *POSITION to the primary's position from its last
- * response, and *AGE_MS to the age of that request in milliseconds.  Returns
- * false if the response can't stand for a confirmed position.
+ * response, and *AGE_MS to the milliseconds since that request was sent.
+ * Returns false if the response can't stand for a confirmed position.
  */
 bool ss_quorum_position (SsNode *node, SsOwnedTarget *owned,
                          SsPosition *position, uint32_t *age_ms);
@@ -483,14 +491,17 @@
  * superseded by a later term, or JOB's deadline passes; takes ownership of JOB.
  */
 void ss_quorum_wait (SsNode *node, SsJob *job);
+/* ss_quorum_check: answers the commits that wait at GROUP's servers owned here
+ * and whose outcome is known, and requests the replicas' status for the rest.
+ */
 void ss_quorum_check (SsNode *node, SsGroup *group);
 void ss_quorum_tick (SsNode *node, SsOwnedTarget *owned);
 void ss_quorum_handle_mark_ask (SsNode *node, const char *from,
-                                const Ss__Peer__MarkAsk *ask);
+                                const Ss__Peer__MarkAsk *request);
 /* ss_quorum_handle_status: handles the response to this VM's status request
- * ASK. */
-void ss_quorum_handle_status (SsNode *node, SsTarget *target, uint64_t ask,
-                              const SsServerState *state);
+ * REQUEST_ID. */
+void ss_quorum_handle_status (SsNode *node, SsTarget *target,
+                              uint64_t request_id, const SsServerState *state);
 
 /* --- target_monitor.c: the control connection of a target that this VM owns
  * --- */
@@ -502,7 +513,7 @@
 void ss_target_monitor_result (SsNode *node, SsOwnedTarget *owned,
                                const SsTargetResult *result);
 void ss_target_monitor_handle_status_ask (SsNode *node, const char *from,
-                                          const Ss__Peer__StatusAsk *ask);
+                                          const Ss__Peer__StatusAsk *request);
 void ss_target_monitor_handle_subscribe (SsNode *node, const char *from,
                                          const Ss__Peer__Subscribe *subscribe);
 /* ss_target_monitor_answer_requests: answers the status requests that the
@@ -510,7 +521,7 @@
  */
 void ss_target_monitor_answer_requests (SsNode *node, SsOwnedTarget *owned);
 void ss_target_monitor_handle_raise_ask (SsNode *node, const char *from,
-                                         const Ss__Peer__RaiseAsk *ask);
+                                         const Ss__Peer__RaiseAsk *request);
 /* ss_target_monitor_poll_soon: polls at once, or after the statement that is
  * running.
  */
@@ -520,10 +531,10 @@
 
 void ss_relay_init (SsNode *node);
 void ss_relay_finish (SsNode *node);
-/* ss_relay_send_heartbeat: sends the heartbeat BEAT to the relays, and reports
- * to other relays if this VM is one.
+/* ss_relay_send_heartbeat: sends HEARTBEAT to the relays, and reports to other
+ * relays if this VM is one.
  */
-void ss_relay_send_heartbeat (SsNode *node, SsEnvelope *beat);
+void ss_relay_send_heartbeat (SsNode *node, SsEnvelope *heartbeat);
 /* ss_relay_send_digest: answers a heartbeat of VM with a digest, which is full
  * unless VM has the one with KNOWN_HASH.
  */
@@ -571,7 +582,8 @@
 /* --- peers.c: heartbeats and subscriptions --- */
 
 void ss_peers_tick (SsNode *node);
-void ss_peers_handle_heartbeat (SsNode *node, const Ss__Peer__Heartbeat *beat);
+void ss_peers_handle_heartbeat (SsNode *node,
+                                const Ss__Peer__Heartbeat *heartbeat);
 /* ss_peers_send_heartbeat: sends a heartbeat at once. */
 void ss_peers_send_heartbeat (SsNode *node);
 /* ss_peers_add_member: adds VM or updates its address. */
@@ -637,11 +649,11 @@
 void ss_admin_handle_promotion (SsNode *node, uint64_t call, SsVerdict verdict,
                                 const char *message, int64_t version);
 void ss_admin_show_handle_rows_ask (SsNode *node, const char *from,
-                                    const Ss__Peer__RowsAsk *ask);
+                                    const Ss__Peer__RowsAsk *request);
 void ss_admin_show_handle_rows_reply (SsNode *node, const char *from,
                                       const Ss__Peer__RowsReply *reply);
 void ss_admin_handle_stop_ask (SsNode *node, const char *from,
-                               const Ss__Peer__StopAsk *ask);
+                               const Ss__Peer__StopAsk *request);
 void ss_admin_handle_stop_reply (SsNode *node,
                                  const Ss__Peer__StopReply *reply);
 void ss_admin_tick (SsNode *node);
--- a/src/core/pending.c
+++ b/src/core/pending.c
@@ -13,8 +13,8 @@
 typedef bool (*RequestPredicate) (SsNode *node, const SsRequest *r,
                                   const void *data);
 
-/* Returns the requests that MATCHES accepts, as a copy: they may be ended while
- * the caller iterates over it.
+/* Returns the requests that MATCHES accepts, as a new array: requests may end
+ * during the iteration over it.
  */
 static GPtrArray *
 find_requests (SsNode *node, RequestPredicate matches, const void *data)
@@ -43,13 +43,14 @@
 void
 ss_pending_superseded (SsNode *node, const SsGroup *group)
 {
-  GPtrArray *out = find_requests (node, is_superseded, group);
+  GPtrArray *superseded = find_requests (node, is_superseded, group);
   GHashTableIter iter;
   gpointer value;
 
-  for (guint i = 0; i < out->len; i++)
-    ss_request_abandon (node, g_ptr_array_index (out, i), SS_REASON_SUPERSEDED);
-  g_ptr_array_free (out, TRUE);
+  for (guint i = 0; i < superseded->len; i++)
+    ss_request_abandon (node, g_ptr_array_index (superseded, i),
+                        SS_REASON_SUPERSEDED);
+  g_ptr_array_free (superseded, TRUE);
   g_hash_table_iter_init (&iter, node->sessions);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -148,7 +149,7 @@
   g_ptr_array_free (waiting, TRUE);
 }
 
-/* Whether the deadline of R, or its wait, is over. */
+/* Whether R's deadline or its wait has expired. */
 static bool
 is_overdue (SsNode *node, const SsRequest *r, const void *data)
 {
--- a/src/core/position.h
+++ b/src/core/position.h
@@ -40,8 +40,8 @@
 
 /* ss_position_translate: returns the equivalent of FLOOR, which may be of an
  * earlier term, in a log with HISTORY.  Where a later term starts at or before
- * the floor, the entries after that start were never acknowledged; the result
- * is the start of that term.
+ * the floor, the earlier term's entries after that start were never
+ * acknowledged; the result is the start of the later term.
  */
 SsPosition ss_position_translate (SsPosition floor, const SsHistory *history);
 
--- a/src/core/quorum.c
+++ b/src/core/quorum.c
@@ -1,3 +1,10 @@
+/* quorum: replication to a majority, and confirmed positions, at the owner of a
+ * group's primary.
+ *
+ * A commit is answered once a majority of the servers has replicated it.  The
+ * primary's position is confirmed by a lease, or by status responses of a
+ * majority.
+ */
 #include <string.h>
 
 #include "core/owner.h"
@@ -10,7 +17,9 @@
 #define FIRST_POLL_AFTER_MS 120
 #define OTHERS_POLL_AFTER_MS 300
 #define ROUND_TIMEOUT_MS 300
-/* Far above a replica's lag plus a round trip between regions. */
+/* Commits count as stalled once one has waited this long: far above a replica's
+ * lag plus a round trip between failure domains.
+ */
 #define STALLED_AFTER_MS 400
 /* The primary's position from a response is used without a new round up to this
  * age.
@@ -208,7 +217,7 @@
   g_ptr_array_set_size (r->next, 0);
   r->running = true;
   r->started_ms = node->now_ms;
-  r->ask = ++node->next_status_request;
+  r->request_id = ++node->next_status_request;
   r->due_ms = node->now_ms + ROUND_TIMEOUT_MS;
   r->confirmed = 0;
   r->has_position = false;
@@ -219,7 +228,7 @@
     node->lease_due_ms = MIN (node->lease_due_ms, node->now_ms);
   for (uint32_t i = 0; i < group->server_count; i++)
     if (group->servers[i] == owned->target || polls_all)
-      send_status_request (node, group->servers[i], r->ask,
+      send_status_request (node, group->servers[i], r->request_id,
                            (SsPosition){ 0, 0 }, 0);
 }
 
@@ -280,9 +289,9 @@
                          SsPosition position)
 {
   (void) node;
-  if (sent_ms < owned->last_position.asked_ms)
+  if (sent_ms < owned->last_position.requested_ms)
     return;
-  owned->last_position.asked_ms = sent_ms;
+  owned->last_position.requested_ms = sent_ms;
   owned->last_position.position = position;
 }
 
@@ -297,7 +306,8 @@
   return ss_dialect_multiplexes_sessions (node->dialect)
          && ss_lease_holds (node, group)
          && owned->last_position.position.term == group->term
-         && node->now_ms - owned->last_position.asked_ms <= POSITION_MAX_AGE_MS;
+         && node->now_ms - owned->last_position.requested_ms
+                <= POSITION_MAX_AGE_MS;
 }
 
 bool
@@ -310,7 +320,7 @@
       || !has_fresh_position (node, owned, group))
     return false;
   *position = owned->last_position.position;
-  *age_ms = (uint32_t) (node->now_ms - owned->last_position.asked_ms);
+  *age_ms = (uint32_t) (node->now_ms - owned->last_position.requested_ms);
   return true;
 }
 
@@ -394,7 +404,7 @@
     {
       send_confirmed_position (
           node, from, group, m->nonce, owned->last_position.position,
-          (uint32_t) (node->now_ms - owned->last_position.asked_ms));
+          (uint32_t) (node->now_ms - owned->last_position.requested_ms));
       return;
     }
   request = g_new0 (SsStatusRequest, 1);
@@ -466,7 +476,7 @@
 }
 
 void
-ss_quorum_handle_status (SsNode *node, SsTarget *target, uint64_t ask,
+ss_quorum_handle_status (SsNode *node, SsTarget *target, uint64_t request_id,
                          const SsServerState *state)
 {
   SsGroup *group = ss_config_group (&node->config, target->group);
@@ -481,9 +491,9 @@
         {
           if (group->servers[j] != target)
             continue;
-          if (owned->replica_requests[j] == ask)
+          if (owned->replica_requests[j] == request_id)
             owned->replica_requests[j] = 0;
-          if (owned->round.running && owned->round.ask == ask)
+          if (owned->round.running && owned->round.request_id == request_id)
             on_round_response (node, owned, group, j, state);
         }
     }
--- a/src/core/replay.h
+++ b/src/core/replay.h
@@ -12,14 +12,14 @@
 
 #include "core/dialect.h"
 
-/* A connection with this many prepared statements is reset before it gets
- * another one.
+/* A connection with this many prepared statements is reset before it runs
+ * another one, but not during a transaction.
  */
 #define SS_REPLAY_PREPARED_MAX 200
 
 typedef struct
 {
-  char *shape;
+  char *shape; /* text from PREPARE that says what the statement does */
   bool is_read;
 } SsPrepared;
 
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -135,14 +135,14 @@
   /* Request the next confirmed position early, so that the next read does not
    * have to wait for one.
    */
-  if (node->now_ms - confirmed->latest.asked_ms > r->staleness_ms / 4)
+  if (node->now_ms - confirmed->latest.requested_ms > r->staleness_ms / 4)
     ss_confirmed_request (node, confirmed);
   return true;
 }
 
-/* A server can't be selected before its first status report, which follows the
- * subscription.  Has R wait for it; returns false where T has reported or the
- * wait is over.
+/* Has R wait for the first status report of T, which follows the subscription:
+ * no server is selected before it.  Returns false if T is NULL or has reported,
+ * or if R has waited for STATUS_WAIT_MS.
  */
 static bool
 begin_status_wait (SsNode *node, SsRequest *r, const SsTarget *t)
@@ -171,8 +171,8 @@
                      SS_RETRY_PROMOTION_MS);
 }
 
-/* Has R wait for a failover that is expected to end before its deadline; else
- * refuses it at once.
+/* Has R wait for a usable primary if a failover is expected to end before R's
+ * deadline; else refuses it at once.
  */
 static void
 wait_for_primary (SsNode *node, SsRequest *r, SsGroup *group)
