--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -17,8 +17,8 @@
   /* The functions that return text build a statement, to be freed with g_free.
    */
   char *(*status) (const SsDialect *dialect);
-  /* Fences TARGET at TERM: a primary of a lower term is one no longer, and a
-   * replica takes no log of lower terms.
+  /* Fences TARGET at TERM: a primary of a lower term stops serving as primary,
+   * and a replica replicates no lower term.
    */
   char *(*raise) (const SsDialect *dialect, const SsTarget *target,
                   uint64_t term);
