--- a/src/core/config.h
+++ b/src/core/config.h
@@ -39,13 +39,13 @@
   bool reachable;
   bool refused; /* its address refuses connections */
   SsServerRole role;
-  uint64_t shown_term; /* the highest term it was shown */
-  SsPosition held;     /* last entry in its log */
-  SsPosition applied;  /* last entry visible to reads */
-  uint32_t silence_ms; /* since it last heard from its primary */
-  uint64_t follow_term;
+  uint64_t shown_term;  /* the highest term it was shown */
+  SsPosition held;      /* last entry in its log */
+  SsPosition applied;   /* last entry visible to reads */
+  uint32_t silence_ms;  /* since it last heard from its primary */
+  uint64_t follow_term; /* term of the primary that it follows or is */
   SsHistory history;
-  uint32_t wait_ms;     /* predicted queueing time of a new statement */
+  uint32_t wait_ms;     /* predicted queueing time of a new read */
   uint32_t lag_ms;      /* replication lag of the applied position */
   uint64_t barred_term; /* replicates no term below this one; 0: no bar */
 } SsServerState;
@@ -67,7 +67,7 @@
   bool removed; /* deleted; kept because pointers to it remain */
   /* last known state */
   SsServerState state;
-  int64_t state_ms;     /* upper bound on when the server was asked for it */
+  int64_t state_ms;     /* the state was requested at this time or earlier */
   int64_t reachable_ms; /* when it last answered */
   uint32_t outstanding; /* requests of this VM in flight there */
   /* cached owner */
@@ -100,8 +100,8 @@
   char *name;
   int64_t version;
   uint64_t term;
-  char *primary; /* empty while a promotion runs */
-  char *operation;
+  char *primary;   /* empty while a promotion runs */
+  char *operation; /* id of the promotion or command that wrote this version */
   int64_t changed_ms;          /* when this VM adopted this version */
   int64_t no_primary_since_ms; /* since when this VM knows of no primary in this
                          term; 0: a primary is set */
@@ -120,7 +120,7 @@
   GHashTable *max_connections; /* group -> limit for each of its servers */
   int64_t transaction_idle_ms; /* 0: the VM's setting */
   uint64_t hash;               /* of all objects; equal on VMs in sync */
-  int64_t revision;
+  int64_t revision; /* platform revision up to which objects is complete */
 } SsConfig;
 
 typedef struct
@@ -143,7 +143,8 @@
 
 /* ss_config_adopt: adopts OBJECT if it is newer than the stored one.  On
  * SS_ADOPT_INVALID, *ERROR is a message that the caller frees, and the
- * configuration is unchanged.
+ * previous object stays in force.  An invalid object routes/NAME may have set
+ * the limits of groups that precede the error.
  */
 SsAdoption ss_config_adopt (SsConfig *config, const SsObject *object,
                             int64_t now_ms, char **error);
@@ -160,7 +161,9 @@
 const SsStoredObject *ss_config_object (const SsConfig *config,
                                         const char *key);
 
-/* ss_config_max_connections: the limit on all connections to TARGET. */
+/* ss_config_max_connections: returns the limit on all connections to TARGET:
+ * its own or its group's; 0 if neither is configured.
+ */
 uint32_t ss_config_max_connections (const SsConfig *config,
                                     const SsTarget *target);
 
--- a/src/core/config_sync.c
+++ b/src/core/config_sync.c
@@ -4,6 +4,7 @@
 #include "kernel/compare.h"
 
 #define PULL_INTERVAL_MS 300
+/* ConfigPush.since of single objects, which do not advance the revision. */
 #define WITHOUT_REVISION (-1)
 
 /* Grace period before a deleted target is removed.  A target object that
@@ -56,20 +57,21 @@
 defer_deletion (SsNode *node, const SsObject *object)
 {
   const SsStoredObject *stored;
-  SsPendingDeletion *r;
+  SsPendingDeletion *pending;
 
   if (!object->deleted || !g_str_has_prefix (object->key, "target/"))
     return false;
   stored = ss_config_object (&node->config, object->key);
   if (!stored || stored->deleted)
     return true;
-  r = g_hash_table_lookup (node->pending_deletions, object->key);
-  if (r)
-    return node->now_ms < r->due_ms;
-  r = g_new0 (SsPendingDeletion, 1);
-  r->version = object->version;
-  r->due_ms = node->now_ms + DELETION_GRACE_MS;
-  g_hash_table_insert (node->pending_deletions, g_strdup (object->key), r);
+  pending = g_hash_table_lookup (node->pending_deletions, object->key);
+  if (pending)
+    return node->now_ms < pending->due_ms;
+  pending = g_new0 (SsPendingDeletion, 1);
+  pending->version = object->version;
+  pending->due_ms = node->now_ms + DELETION_GRACE_MS;
+  g_hash_table_insert (node->pending_deletions, g_strdup (object->key),
+                       pending);
   return true;
 }
 
@@ -146,7 +148,7 @@
   ss_node_send (node, vm, &e);
 }
 
-/* Calls SEND with a push of all objects with versions above SINCE. */
+/* Calls SEND with VM and a push of all objects with versions above SINCE. */
 static void
 push_since (SsNode *node, int64_t since,
             void (*send) (SsNode *node, Ss__Peer__ConfigPush *push,
@@ -254,8 +256,8 @@
   send_push (node, member->vm, data);
 }
 
-/* Forwards OBJECTS at once, independent of revisions; DOMAIN_ONLY: to VMs of
- * the own failure domain only.
+/* Forwards OBJECTS at once, independent of revisions.  DOMAIN_ONLY: only to VMs
+ * of this failure domain.
  */
 static void
 forward_objects (SsNode *node, const SsObject *objects, uint32_t count,
@@ -327,7 +329,7 @@
 {
   MissingContext c
       = { prefix, revision, present, g_ptr_array_new_with_free_func (g_free) };
-  bool dropped = false;
+  bool deleted_any = false;
 
   g_tree_foreach (node->config.objects, find_missing, &c);
   for (guint i = 0; i < c.missing->len; i++)
@@ -338,11 +340,11 @@
 
       if (!ss_config_sync_adopt (node, &o))
         continue;
-      dropped = true;
+      deleted_any = true;
       ss_config_sync_forward (node, &o, 1);
     }
   g_ptr_array_free (c.missing, TRUE);
-  return dropped;
+  return deleted_any;
 }
 
 void
@@ -360,9 +362,10 @@
   for (guint i = 0; i < due->len; i++)
     {
       const char *name = g_ptr_array_index (due, i);
-      SsPendingDeletion *r
+      SsPendingDeletion *pending
           = g_hash_table_lookup (node->pending_deletions, name);
-      SsObject o = { .key = name, .version = r->version, .deleted = true };
+      SsObject o
+          = { .key = name, .version = pending->version, .deleted = true };
 
       if (adopt_now (node, &o))
         ss_config_sync_forward (node, &o, 1);
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -39,12 +39,12 @@
 #undef SS_EVENT_ENUM
 } SsEventKind;
 
-/* Why a target did not execute a statement, if its protocol reports it. */
+/* Why a statement failed at a target, if the target's protocol reports it. */
 #define SS_TARGET_FAULTS(X)                                                    \
   X (NONE, "none")                                                             \
   X (STATEMENT, "statement")     /* statement error; may have run */           \
   X (BUSY, "busy")               /* not run: target at its limit */            \
-  X (BEHIND, "behind")           /* not run: floor is not applied yet */       \
+  X (BEHIND, "behind")           /* not run: the floor is not applied there */ \
   X (NOT_PRIMARY, "not_primary") /* not run: the target is a replica */        \
   X (UNPREPARED, "unprepared")   /* not run: not prepared there */
 
@@ -66,7 +66,7 @@
   const char *tag;         /* last command tag */
   SsPosition commit;       /* offset 0: nothing was committed */
   SsPosition applied;      /* the server's position when it answered */
-  const char *const *row;  /* first row's cells, or NULL */
+  const char *const *row;  /* cells of the first row, or NULL */
   uint32_t row_cells;
 } SsTargetResult;
 
@@ -95,10 +95,14 @@
       SS_WATCH_COUNT
 } SsWatch;
 
-/* ss_watch_prefix: returns the key prefix of the objects that FEED covers. */
-const char *ss_watch_prefix (SsWatch feed);
+/* ss_watch_prefix: returns the key prefix of the objects that WATCH covers. */
+const char *ss_watch_prefix (SsWatch watch);
 
-/* The result of a call to the platform. */
+/* The result of a call to the platform.  CONFLICT: the object has another
+ * version.  ABSENT: there is no such object, or the revision that a watch
+ * starts from has been compacted.  REFUSED: the call was refused or not sent.
+ * UNKNOWN: it may have taken effect.
+ */
 #define SS_PLATFORM_OUTCOMES(X)                                                \
   X (DONE, "done")                                                             \
   X (CONFLICT, "conflict")                                                     \
@@ -160,10 +164,10 @@
     {
       SsPlatformOutcome outcome;
       SsWatch feed;
-      bool complete; /* the watch has no other objects */
-      bool listed;   /* answers PLATFORM_LIST with the present state */
-      int64_t since;
-      int64_t revision;
+      bool complete;    /* objects holds all objects that the watch covers */
+      bool listed;      /* answers PLATFORM_LIST with the present state */
+      int64_t since;    /* revision that the watch started from */
+      int64_t revision; /* platform revision of the response */
       const SsObject *objects;
       uint32_t object_count;
     } platform_objects;
@@ -180,7 +184,7 @@
     } platform_vms;
     struct
     {
-      uint64_t id; /* for OPERATOR_REPLY */
+      uint64_t id; /* of the request, repeated in OPERATOR_REPLY */
       const char *text;
       bool may_change; /* not restricted to read-only commands */
     } operator_command;
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -17,7 +17,13 @@
 
 /* --- actions and messages (message.c) --- */
 
+/* ss_node_push: appends an action of KIND to the node's output and returns it
+ * to be filled in.
+ */
 SsAction *ss_node_push (SsNode *node, SsActionKind kind);
+/* ss_node_log: logs EVENT of SUBJECT with the formatted detail, unless the rate
+ * limit of EVENT is reached.
+ */
 void ss_node_log (SsNode *node, SsLogEvent event, const char *subject,
                   const char *format, ...) G_GNUC_PRINTF (4, 5);
 static inline void
@@ -300,24 +306,26 @@
   char *vm; /* of the session that it is pinned to */
   uint64_t session;
   uint64_t transaction; /* if pinned: the request that opened it */
-  int64_t since_ms;
+  int64_t since_ms;     /* since when it connects, is idle or pinned, or rolls
+                           back */
   SsSessionState held;  /* session state on this connection */
   GQueue setup_queue;   /* statements to send before the job's, owned */
-  char *last_setup;     /* copy of the last one sent from due */
+  char *last_setup;     /* copy of the last one sent from setup_queue */
   bool rolls_back;      /* a ROLLBACK is in flight */
   int64_t resend_at_ms; /* when to resend the job's statement; 0: never */
   int64_t sent_ms;      /* when its last statement was sent */
 } SsConnection;
 
+/* What was last sent to the target for a job. */
 typedef enum
 {
-  SS_STEP_PLAIN,
-  SS_STEP_CLAIM,
-  SS_STEP_RECORD,
-  SS_STEP_COMMIT,
-  SS_STEP_LOOKUP,
-  SS_STEP_ROLLBACK,
-  SS_STEP_SETUP /* session state replay and BEGIN */
+  SS_STEP_PLAIN,    /* the statement itself */
+  SS_STEP_CLAIM,    /* BEGIN, claim of the key, the statement */
+  SS_STEP_RECORD,   /* record of the result, COMMIT */
+  SS_STEP_COMMIT,   /* in an open transaction: claim, record, COMMIT */
+  SS_STEP_LOOKUP,   /* the claim failed: ROLLBACK, look the record up */
+  SS_STEP_ROLLBACK, /* ROLLBACK, as the statement failed */
+  SS_STEP_SETUP     /* session state replay and BEGIN */
 } SsStep;
 
 struct SsJob
@@ -337,11 +345,11 @@
   char **values; /* session settings: name, value, ..., NULL */
   char *shape;   /* of the prepared statement to run, or NULL */
   bool shape_is_read;
-  bool begins;
+  bool begins; /* BEGIN is sent before it */
   bool transaction_is_read;
-  bool keeps;
+  bool keeps;   /* its effect may be durable: see SsRequest */
   bool pinned;  /* belongs to an open transaction */
-  bool confirm; /* run only if the primary is confirmed later */
+  bool confirm; /* run only after a new confirmation of the primary */
   bool sent;    /* the target may have run the statement */
   bool is_read;
   SsPosition floor;
@@ -361,11 +369,11 @@
 typedef struct
 {
   char *vm;
-  uint64_t ask;
+  uint64_t ask;      /* request id, repeated in the answer */
   char **identities; /* callers to return floors for; may be NULL */
-  SsPosition held;
-  uint64_t poll;   /* answered by this poll or a later one */
-  int64_t poll_ms; /* earliest time of a poll for it */
+  SsPosition held;   /* position that the log must contain; offset 0: none */
+  uint64_t poll;     /* answered by this poll or a later one */
+  int64_t poll_ms;   /* earliest time of a poll for it */
   int64_t expires_ms;
 } SsStatusRequest;
 
@@ -384,7 +392,7 @@
   GPtrArray *requesters; /* of SsStatusRequest, with held unset */
   GPtrArray *next;       /* arrived while the round ran; get the next round */
   bool running;
-  uint64_t ask;
+  uint64_t ask; /* id of its status requests */
   int64_t started_ms;
   int64_t due_ms;
   uint32_t confirmed; /* bit set of servers that showed no higher term */
@@ -419,10 +427,10 @@
 
   SsWriters writers;
   GQueue waiters;           /* jobs whose commit waits for a majority */
-  SsPosition unheld;        /* highest commit not known to be replicated */
-  bool replication_stalled; /* replication stalled: no new commits are taken */
+  SsPosition unheld;        /* highest commit not known to have a majority */
+  bool replication_stalled; /* a commit waits too long: no new ones are taken */
   GQueue unconfirmed;       /* jobs that wait for a confirmed primary */
-  SsConfirmedPosition last_position; /* latest position reported by an answer */
+  SsConfirmedPosition last_position; /* latest one reported by an answer */
   uint64_t replica_requests[SS_CONFIG_SERVERS_MAX]; /* outstanding, by server */
   int64_t replica_requested_ms[SS_CONFIG_SERVERS_MAX];
   SsConfirmationRound round;
@@ -594,7 +602,9 @@
                                  const Ss__Peer__ConfigPull *pull);
 void ss_config_sync_handle_push (SsNode *node, const char *from,
                                  const Ss__Peer__ConfigPush *push);
-/* ss_config_sync_publish: adopts OBJECT and forwards it to all peers. */
+/* ss_config_sync_publish: adopts OBJECT if it is newer, and then forwards it to
+ * all peers.
+ */
 void ss_config_sync_publish (SsNode *node, const SsObject *object);
 /* ss_config_sync_pull_all: requests all objects that VM stores. */
 void ss_config_sync_pull_all (SsNode *node, const char *vm);
--- a/src/core/job_result.c
+++ b/src/core/job_result.c
@@ -53,7 +53,7 @@
 
   job->connection = NULL;
   release_connection (node, c, job);
-  /* With this reply the caller treats its transaction as lost, so it must be
+  /* With this reply the entry VM treats the transaction as lost, so it must be
    * rolled back at the target, too.
    */
   if (job->transaction_status != 'I' && reason != SS_REASON_NONE
@@ -95,7 +95,7 @@
         ss_job_end_committed (node, c);
       return;
     }
-  /* Statements earlier in the same message may have committed. */
+  /* Earlier statements of the same text may have committed. */
   if (job->commit.offset)
     ss_job_end_committed (node, c);
   else if (strcmp (job->sqlstate, READ_ONLY_SERVER) == 0 && !job->is_read
@@ -135,8 +135,10 @@
     ss_job_start_step (node, c, SS_STEP_ROLLBACK);
 }
 
-/* Answers with the recorded result of the first try: the idempotency key
- * exists already.
+/* Ends a job whose claim failed.  If the idempotency key has a record, answers
+ * with the result recorded by the first try.  Without a record, a unique
+ * violation is an error of the statement itself; otherwise the first try still
+ * runs.
  */
 static void
 end_lookup (SsNode *node, SsConnection *c, const SsTargetResult *result)
@@ -188,8 +190,8 @@
   job->wire = g_bytes_ref (result->wire);
 }
 
-/* Advances the known position of the server: an answer reports it more
- * recently than the last poll.
+/* Advances the known position of the server: an answer is more recent than the
+ * last poll.
  */
 static void
 advance_applied (SsTarget *t, SsPosition applied)
--- a/src/core/message.c
+++ b/src/core/message.c
@@ -4,7 +4,7 @@
 #include "core/internal.h"
 
 const char *
-ss_watch_prefix (SsWatch feed)
+ss_watch_prefix (SsWatch watch)
 {
   static const char *const prefixes[] = {
 #define X(id, prefix) prefix,
@@ -12,7 +12,7 @@
 #undef X
   };
 
-  return prefixes[feed];
+  return prefixes[watch];
 }
 
 void
@@ -181,7 +181,7 @@
     {
       target->owner = ss_members_owner (&node->members, target->failure_domain,
                                         target->name);
-      /* The failure domain has no live VM: a VM of any other one owns its
+      /* The failure domain has no live VM: a VM of another one owns its
        * targets.
        */
       if (!target->owner && node->params.cross_domain_owners)
--- a/src/core/multiplex.c
+++ b/src/core/multiplex.c
@@ -1,9 +1,9 @@
 /* multiplex: runs statements of sessions that share server connections.
  *
  * The entry VM keeps the state of a session, and a connection serves many
- * sessions in turn.  Before a statement, session state replay sets the values
- * and prepares the statement that its session expects.  BEGIN follows if the
- * statement opens a transaction.
+ * sessions in turn.  Before a statement, session state replay applies the
+ * session's settings and creates the prepared statement that is executed, if
+ * any.  BEGIN follows if the statement opens a transaction.
  */
 #include "core/owner.h"
 
@@ -42,8 +42,8 @@
   a->text = text;
 }
 
-/* Adds the job's floor to TEXT if the job is a read with a floor.  Takes TEXT
- * and returns the text to send.
+/* Adds the job's floor to TEXT if the job is a read with a floor.  Takes
+ * ownership of TEXT and returns the text to send.
  */
 static char *
 with_floor (SsNode *node, const SsJob *job, char *text)
@@ -128,8 +128,9 @@
     ss_job_end (node, c, SS_VERDICT_NOT_RUN, reason, SS_RETRY_SOON_MS);
 }
 
-/* The target did not run the statement.  Resends it after PAUSE_MS, until
- * LIMIT_MS have passed since the job started.
+/* The target did not run the statement.  Resends it after PAUSE_MS if the
+ * transaction status is as before, until LIMIT_MS have passed since the job
+ * started.
  */
 static void
 retry_later (SsNode *node, SsConnection *c, SsReason reason, int64_t pause_ms,
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -5,7 +5,7 @@
 #include "core/internal.h"
 #include "kernel/compare.h"
 
-/* If no event came for this long, the process was suspended. */
+/* If no event was processed for this long, the process was paused. */
 #define PAUSE_MS 700
 /* Time for the last output to be sent and for callers to read it. */
 #define STOP_LINGER_MS 400
@@ -37,7 +37,9 @@
   node->ticked_ms = now_ms;
   node->rand = g_rand_new_with_seed (params->seed);
   node->dialect = params->dialect ? params->dialect : ss_dialect_sql ();
-  /* Random start, so that ids of different incarnations do not collide. */
+  /* Random start, so that ids of different incarnations of this VM do not
+   * collide.
+   */
   node->next_request = (uint64_t) g_rand_int (node->rand) << 32;
   node->next_status_request = (uint64_t) g_rand_int (node->rand) << 32;
   g_queue_init (&node->actions);
@@ -247,7 +249,7 @@
 /* --- ticks --- */
 
 static gboolean
-retry_marks (gpointer key, gpointer value, gpointer data)
+retry_confirmed (gpointer key, gpointer value, gpointer data)
 {
   (void) key;
   ss_confirmed_retry (data, value);
@@ -290,7 +292,7 @@
   ss_node_push (node, SS_ACTION_STOPPED);
 }
 
-/* Shifts the time of a member's last heartbeat by the length of a pause of this
+/* Shifts the time of a member's last message by the length of a pause of this
  * process.  Silence during the pause is no sign of failure: heartbeats of other
  * VMs may still be waiting to be read.
  */
@@ -364,7 +366,7 @@
   ss_directory_tick (node);
   ss_lease_tick (node);
   ss_isolation_tick (node);
-  g_tree_foreach (node->confirmed_positions, retry_marks, node);
+  g_tree_foreach (node->confirmed_positions, retry_confirmed, node);
   ss_pending_tick (node);
   if (node->stopping)
     tick_stop (node);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -38,7 +38,7 @@
   bool spans;                  /* log a trace span for each hop */
   SsTiming timing;             /* fields that are 0 get their defaults */
   const SsDialect *dialect;    /* NULL: plain SQL */
-  uint32_t watches;         /* bit set of the SsFeed to watch; 0: SS_FEED_ALL */
+  uint32_t watches; /* bit set of the SsWatch to use; 0: only SS_WATCH_ALL */
   bool cross_domain_owners; /* if a failure domain has no live VM, VMs of others
                            own its targets */
   int64_t apply_ms;   /* limit for a configuration change to take effect */
@@ -46,19 +46,19 @@
   uint32_t seed_port; /* peer port at the seeds; 0: as in seeds */
 } SsNodeParams;
 
-/* A target whose object was deleted at the platform. */
+/* The deferred removal of a target whose object was deleted at the platform. */
 typedef struct
 {
   int64_t version;
   int64_t due_ms; /* when the removal takes effect */
 } SsPendingDeletion;
 
-/* Rate limit of the log lines of one event. */
+/* State of the rate limit on the log lines of one event. */
 typedef struct
 {
   int64_t since_ms; /* start of the current one-second window */
   uint32_t written;
-  uint32_t left_out;
+  uint32_t left_out; /* suppressed since the last line written */
 } SsLogQuota;
 
 /* A lease request of a VM that gets no answer from the platform. */
@@ -72,9 +72,9 @@
 /* State of one watch on the platform. */
 typedef struct
 {
-  bool watching; /* a watch request is in flight */
-  bool complete; /* all of its objects were received once */
-  int64_t due_ms;
+  bool watching;  /* a watch request is in flight */
+  bool complete;  /* all of its objects were received once */
+  int64_t due_ms; /* when the next watch request is due */
   int64_t revision;
 } SsWatchState;
 
@@ -104,9 +104,9 @@
   GHashTable *requests;   /* id -> SsRequest */
   uint64_t next_request;
   uint32_t status_waiters;    /* requests waiting for a first status report */
-  GTree *confirmed_positions; /* group -> SsMarks */
+  GTree *confirmed_positions; /* group -> SsConfirmedPositions */
 
-  GTree *owned;            /* target -> SsOwned */
+  GTree *owned;            /* target -> SsOwnedTarget */
   GHashTable *connections; /* id -> SsConnection */
   uint64_t next_connection;
   uint64_t next_status_request;
@@ -116,7 +116,7 @@
   GHashTable *operations; /* call -> SsOperation */
   uint64_t next_call;
   uint64_t next_operation;
-  int64_t duty_version; /* last seen version of the duty's object */
+  int64_t duty_version; /* last seen version of the duty object */
 
   int64_t heartbeat_due_ms;
   int64_t subscribe_due_ms;
@@ -126,21 +126,24 @@
   GHashTable *pending_deletions; /* key -> SsPendingDeletion */
   GHashTable *relay_views;       /* VM -> the VMs in its last full report */
   GHashTable *reports;           /* relay -> the last full report sent to it */
-  int64_t config_synced_ms; /* since when a relay's configuration differs */
+  int64_t config_synced_ms; /* when the configuration last agreed with a relay's
+                               or was requested from one */
   int64_t directory_due_ms;
-  GHashTable *leases; /* group -> since when this VM's object names it, in ms */
-  bool vm_list_outstanding; /* a list request for the VM objects is in flight */
-  bool isolated;            /* partitioned from most VMs and the platform */
-  int64_t
-      minority_since_ms; /* since when most VMs are not heard; 0: they are */
+  GHashTable *leases; /* group -> since when this VM's object lists a lease on
+                         its primary, in ms */
+  bool vm_list_outstanding;  /* a list request for the objects vm/NAME is in
+                                flight */
+  bool isolated;             /* partitioned from most VMs and the platform */
+  int64_t minority_since_ms; /* since when less than half of the other listed
+                                VMs are live; 0: at least half are */
   int64_t lease_due_ms;
   int64_t lease_requested_ms;      /* 0: no lease request is in flight */
   uint64_t lease_nonce;            /* of the last lease request to another VM */
   int64_t lease_peer_requested_ms; /* when it was sent */
   GQueue lease_requests;           /* of SsLeaseRequest, oldest first */
-  bool vms_requested;
+  bool vms_requested;              /* a request for vms_json is in flight */
   int64_t vms_due_ms;
-  GBytes *vms_json; /* the platform's last list of VMs */
+  GBytes *vms_json; /* the platform's last list of VMs, as JSON */
   bool platform_down;
 } SsNode;
 
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -6,8 +6,8 @@
 #define CONNECT_TIMEOUT_MS 1000
 #define CONNECT_BACKOFF_MS 50
 #define IDLE_CONNECTION_MS 30000
-/* A target that does not answer ROLLBACK within this time has lost the
- * transaction.
+/* A target that does not answer ROLLBACK within this time is assumed to have
+ * lost the transaction; the connection is closed.
  */
 #define ROLLBACK_TIMEOUT_MS 2000
 #define TOO_MANY_CONNECTIONS "53300"
@@ -15,11 +15,11 @@
 static void
 free_status_request (gpointer data)
 {
-  SsStatusRequest *ask = data;
+  SsStatusRequest *request = data;
 
-  g_free (ask->vm);
-  g_strfreev (ask->identities);
-  g_free (ask);
+  g_free (request->vm);
+  g_strfreev (request->identities);
+  g_free (request);
 }
 
 static void
@@ -153,7 +153,7 @@
 }
 
 static gboolean
-free_waiting (gpointer key, gpointer value, gpointer data)
+free_waiting_jobs (gpointer key, gpointer value, gpointer data)
 {
   SsOwnedTarget *o = value;
   SsJob *job;
@@ -182,7 +182,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &connection))
     ss_pool_free (connection);
   g_hash_table_destroy (node->connections);
-  g_tree_foreach (node->owned, free_waiting, NULL);
+  g_tree_foreach (node->owned, free_waiting_jobs, NULL);
   g_tree_destroy (node->owned);
 }
 
@@ -226,8 +226,8 @@
   g_ptr_array_free (owned, TRUE);
 }
 
-/* Ends the queued jobs, running jobs and open transactions that match FILTER.
- * Closing a connection makes the server roll back.
+/* Refuses the queued jobs and ends the running jobs and open transactions that
+ * match FILTER.  Closing a connection makes the server roll back.
  */
 static void
 close_sessions (SsNode *node, SsOwnedTarget *owned, const JobFilter *filter)
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -23,23 +23,25 @@
 /* ss_pool_forget: frees a connection that is already closed. */
 void ss_pool_forget (SsNode *node, SsConnection *c);
 void ss_pool_free (SsConnection *c);
-/* ss_pool_release_slot: releases C's slot in the queue after a statement of
- * RAN_MS milliseconds; a negative RAN_MS is not sampled.
+/* ss_pool_release_slot: releases C's slot in the queue after a statement that
+ * ran for RAN_MS milliseconds; a negative RAN_MS is not sampled.
  */
 void ss_pool_release_slot (SsConnection *c, int64_t ran_ms);
 /* ss_pool_find_pinned: returns the connection pinned to the transaction that VM
  * opened with its request TRANSACTION, or NULL.  The session id is not enough:
- * its entry may have lost a transaction that is still open here, or may belong
+ * VM may have lost a transaction that is still open here, or the id may belong
  * to a new incarnation of VM.
  */
 SsConnection *ss_pool_find_pinned (SsOwnedTarget *owned, const char *vm,
                                    uint64_t transaction);
 SsConnection *ss_pool_find_idle (SsOwnedTarget *owned);
 /* ss_pool_find_nearest: returns the idle connection that needs the fewest
- * statements of session state replay for JOB, or NULL.
+ * statements to replay JOB's session settings, or NULL.
  */
 SsConnection *ss_pool_find_nearest (SsOwnedTarget *owned, const SsJob *job);
-/* ss_pool_capacity: returns how many statements may run concurrently. */
+/* ss_pool_capacity: returns how many statements may be sent to the target
+ * concurrently.
+ */
 uint32_t ss_pool_capacity (SsNode *node, const SsOwnedTarget *owned);
 /* ss_pool_open_more: opens connections for queued statements. */
 void ss_pool_open_more (SsNode *node, SsOwnedTarget *owned);
@@ -83,7 +85,7 @@
 
 /* --- multiplex.c --- */
 
-/* ss_multiplex_start: starts C's job with the replay of its session state. */
+/* ss_multiplex_start: starts C's job: first replays its session state. */
 void ss_multiplex_start (SsNode *node, SsConnection *c);
 /* ss_multiplex_result: handles the target's RESULT for the last statement on C.
  */
@@ -97,9 +99,8 @@
 void ss_multiplex_roll_back (SsNode *node, SsConnection *c);
 void ss_multiplex_rolled_back (SsNode *node, SsConnection *c,
                                const SsTargetResult *result);
-/* ss_multiplex_end_transaction: ends the open transaction of a connection on
- * which no statement runs: rolls it back, or closes C if sessions are not
- * multiplexed.
+/* ss_multiplex_end_transaction: ends the open transaction on C, where no
+ * statement runs: rolls it back, or closes C if sessions are not multiplexed.
  */
 void ss_multiplex_end_transaction (SsNode *node, SsConnection *c);
 /* ss_multiplex_note_position: records the log position of the target, which
@@ -107,8 +108,8 @@
  */
 void ss_multiplex_note_position (SsNode *node, const SsConnection *c,
                                  const SsTargetResult *result);
-/* ss_multiplex_note_commit: records the position of JOB's commit: the one
- * reported right after the commit, which covers it.
+/* ss_multiplex_note_commit: if RESULT ends a commit, records its position as
+ * the one of JOB's commit: it is reported right after the commit and covers it.
  */
 void ss_multiplex_note_commit (SsJob *job, const SsTargetResult *result);
 
--- a/src/core/parse.c
+++ b/src/core/parse.c
@@ -81,7 +81,8 @@
     if (error)
       return error;
     if (s->kind_count == SS_CONFIG_KINDS_MAX)
-      return g_strdup ("too many kinds");
+      return g_strdup ("\"kinds\" must have at most " G_STRINGIFY (
+          SS_CONFIG_KINDS_MAX) " members");
     s->kinds[s->kind_count].name = g_strdup (name);
     s->kinds[s->kind_count++].staleness_ms = staleness_ms;
   }
@@ -122,7 +123,8 @@
   if (!error && s->default_kind && *s->default_kind
       && strcmp (s->default_kind, "strict") != 0
       && ss_service_staleness (s, s->default_kind) < 0)
-    error = g_strdup ("\"default_kind\" names no kind of the service");
+    error = g_strdup ("\"default_kind\" must be \"session\", \"strict\" or a "
+                      "name in \"kinds\"");
   s->weight = (uint32_t) weight;
   s->acknowledge_majority
       = !acknowledge || strcmp (acknowledge, "majority") == 0;
--- a/src/core/parse.h
+++ b/src/core/parse.h
@@ -28,8 +28,8 @@
  */
 char *ss_parse_number (json_t *json, const char *name, int64_t fallback,
                        int64_t lowest, int64_t highest, int64_t *out);
-/* ss_parse_check_keys: rejects members that are not in ALLOWED, a list of names
- * with a space before and after each.
+/* ss_parse_check_keys: rejects JSON if it has members that are not in ALLOWED,
+ * a list of names with a space before and after each.
  */
 char *ss_parse_check_keys (json_t *json, const char *allowed);
 
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -3,7 +3,7 @@
  * Services share the connections by weight (weighted fair queueing).  A share
  * of the connections is reserved for writes.  Admission control refuses a
  * statement at once if its predicted wait exceeds SS_QUEUE_WAIT_MAX_MS or would
- * miss its deadline.
+ * miss its deadline, or if the queue would exceed SS_QUEUE_BYTES_MAX.
  */
 #ifndef SS_QUEUE_H
 #define SS_QUEUE_H
@@ -13,6 +13,7 @@
 #include <stdint.h>
 
 #define SS_QUEUE_WAIT_MAX_MS 500
+/* Initial value of mean_run_ms, and the weight of a new sample in it. */
 #define SS_QUEUE_INITIAL_RUN_MS 1.0
 #define SS_QUEUE_RUN_GAIN 0.05
 /* One in this many connections is reserved for writes. */
@@ -44,15 +45,16 @@
   double virtual_time;
   double mean_run_ms; /* moving average of a statement's run time */
   uint64_t sequence;
-  uint32_t bytes;
-  uint32_t running[SS_QUEUE_CLASSES];
+  uint32_t bytes;                     /* of all queued items */
+  uint32_t running[SS_QUEUE_CLASSES]; /* items popped and not done */
 } SsQueue;
 
 void ss_queue_init (SsQueue *queue);
 void ss_queue_finish (SsQueue *queue);
 
 /* ss_queue_wait_ms: returns the predicted wait in milliseconds of one more
- * statement, where CONNECTIONS is the number of all usable connections.
+ * statement of QUEUE_CLASS.  CONNECTIONS is the number of all usable
+ * connections here and below.
  */
 uint32_t ss_queue_wait_ms (const SsQueue *queue, SsQueueClass queue_class,
                            uint32_t connections);
@@ -65,12 +67,12 @@
 void ss_queue_push (SsQueue *queue, SsQueueItem *item, const char *service,
                     uint32_t weight);
 void ss_queue_remove (SsQueue *queue, SsQueueItem *item);
-/* ss_queue_pop: returns the next item that may run where CONNECTIONS can be
- * used in all, or NULL.  It counts as running until ss_queue_done.
+/* ss_queue_pop: removes and returns the next item that may run, or NULL.  It
+ * counts as running until ss_queue_done.
  */
 SsQueueItem *ss_queue_pop (SsQueue *queue, uint32_t connections);
-/* ss_queue_done: an item of QUEUE_CLASS ended after RAN_MS milliseconds.  A
- * negative RAN_MS is not sampled.
+/* ss_queue_done: records that an item of QUEUE_CLASS ended after RAN_MS
+ * milliseconds.  A negative RAN_MS is not sampled.
  */
 void ss_queue_done (SsQueue *queue, SsQueueClass queue_class, int64_t ran_ms);
 /* ss_queue_expired: returns a queued item whose deadline has passed, or NULL.
--- a/src/core/rank.h
+++ b/src/core/rank.h
@@ -1,4 +1,4 @@
-/* rank: rendezvous hashing, by which all roles are assigned to VMs. */
+/* rank: rendezvous hashing, which assigns all roles to VMs. */
 #ifndef SS_RANK_H
 #define SS_RANK_H
 
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -1,5 +1,5 @@
-/* retry_budget: a retry budget.  Limits retries to a tenth of the first tries,
- * so that retries cannot amplify an outage.
+/* retry_budget: limits retries to a tenth of the first tries, so that retries
+ * cannot amplify an outage.  The budget holds up to 100 retries.
  */
 #ifndef SS_RETRY_BUDGET_H
 #define SS_RETRY_BUDGET_H
--- a/src/core/watch.c
+++ b/src/core/watch.c
@@ -5,14 +5,14 @@
 
 #define WATCH_RETRY_MS 300
 #define WATCH_WAIT_MS 8000
-/* Delay before the next watch.  Many VMs and targets change their objects at
- * the same time, especially at start-up: the delay batches these changes into
- * one response.
+/* Delay before the next watch of VMs or targets.  Many of these change their
+ * objects at the same time, especially at start-up: the delay batches the
+ * changes into one response.
  */
 #define VMS_BATCH_MS 1000
 #define TARGETS_BATCH_MS 300
-/* A VM that has no configuration from its relays by then watches the platform
- * itself.
+/* A VM that has no configuration from its relays at this time after its start
+ * watches the platform itself.
  */
 #define OWN_WATCH_AFTER_MS 3000
 #define VMS_INTERVAL_MS 1000
@@ -65,15 +65,15 @@
 delete_unlisted (SsNode *node, const SsEvent *e)
 {
   GHashTable *present = g_hash_table_new (g_str_hash, g_str_equal);
-  bool dropped;
+  bool deleted;
 
   for (uint32_t i = 0; i < e->platform_objects.object_count; i++)
     g_hash_table_add (present, (gpointer) e->platform_objects.objects[i].key);
-  dropped = ss_config_sync_delete_missing (
+  deleted = ss_config_sync_delete_missing (
       node, ss_watch_prefix (e->platform_objects.feed),
       e->platform_objects.revision, present);
   g_hash_table_destroy (present);
-  return dropped;
+  return deleted;
 }
 
 /* Adopts the objects of a response and forwards those that are new.  Returns
@@ -83,22 +83,22 @@
 adopt_all (SsNode *node, const SsEvent *e)
 {
   uint32_t count = e->platform_objects.object_count;
-  SsObject *taken = g_new (SsObject, count + 1);
-  uint32_t taken_count = 0;
+  SsObject *adopted = g_new (SsObject, count + 1);
+  uint32_t adopted_count = 0;
 
   for (uint32_t i = 0; i < count; i++)
     if (ss_config_sync_adopt (node, &e->platform_objects.objects[i]))
-      taken[taken_count++] = e->platform_objects.objects[i];
-  ss_config_sync_forward (node, taken, taken_count);
-  g_free (taken);
-  return taken_count > 0;
+      adopted[adopted_count++] = e->platform_objects.objects[i];
+  ss_config_sync_forward (node, adopted, adopted_count);
+  g_free (adopted);
+  return adopted_count > 0;
 }
 
 /* Handles the response to an explicit list request, which is sent in addition
  * to the watch where current data is required.
  */
 static void
-take_list (SsNode *node, const SsEvent *e)
+handle_list (SsNode *node, const SsEvent *e)
 {
   bool adopted = false;
 
@@ -122,7 +122,7 @@
 
   if (e->platform_objects.listed)
     {
-      take_list (node, e);
+      handle_list (node, e);
       return;
     }
   watch->watching = false;
@@ -186,7 +186,7 @@
 }
 
 /* The list lags behind: it only adds VMs to expect heartbeats from, and allows
- * silent ones to be forgotten.  Heartbeats determine which VMs are live.
+ * silent ones to be removed.  Heartbeats determine which VMs are live.
  */
 void
 ss_watch_handle_vms (SsNode *node, const char *json, uint32_t json_bytes)
--- a/src/core/writers.h
+++ b/src/core/writers.h
@@ -1,10 +1,10 @@
 /* writers: tracks which caller wrote which entries of a group's log, at the
  * owner of the primary.
  *
- * A session that arrives without a token then needs only the last write of its
- * own caller as its floor, not the primary's current position.  This holds only
- * if every entry since a known one was committed through this owner; otherwise
- * the primary's position is the floor.
+ * A session that presents no position token then needs only the last write of
+ * its own caller as its floor, not the primary's current position.  This holds
+ * only if every entry since a known one was committed through this owner;
+ * otherwise the primary's position is the floor.
  */
 #ifndef SS_WRITERS_H
 #define SS_WRITERS_H
@@ -13,6 +13,7 @@
 
 #include "core/position.h"
 
+/* Limits of last_writes and pending.  At a limit, all records are dropped. */
 #define SS_WRITERS_MAX 100000
 #define SS_WRITERS_PENDING_MAX 256
 
@@ -23,7 +24,7 @@
   uint64_t known_upto;  /* the writers of entries after known_after, up to this,
                            are known */
   GHashTable *last_writes; /* identity -> offset of its last entry */
-  GTree *pending;          /* offset -> identity; entries beyond a gap */
+  GTree *pending; /* offset -> identity; beyond a gap after known_upto */
 } SsWriters;
 
 void ss_writers_init (SsWriters *writers);
