--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -349,7 +349,7 @@
   bool transaction_is_read;
   bool keeps;   /* its effect may be durable: see SsRequest */
   bool pinned;  /* belongs to an open transaction */
-  bool confirm; /* run only after a new confirmation of the primary */
+  bool confirm; /* run only under a lease or after a new confirmation */
   bool sent;    /* the target may have run the statement */
   bool is_read;
   SsPosition floor;
