--- a/src/core/admin.c
+++ b/src/core/admin.c
@@ -1,12 +1,18 @@
+/* admin: runs operator commands and answers them.
+ *
+ * A configuration update is a conditional write to the platform.  If its
+ * outcome is unknown, the object is read back: the operation id stored in it
+ * tells whether this write took effect.
+ */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/operation.h"
 
-#define STOP_BOUND_MS 1000
-#define UPDATE_BOUND_MS 4000
-#define READ_AGAIN_MS 200
+#define STOP_TIMEOUT_MS 1000
+#define UPDATE_TIMEOUT_MS 4000
+#define READ_RETRY_MS 200
 
 static void
 operation_free (gpointer data)
@@ -80,7 +86,7 @@
 
 SsOperation *
 ss_operation_new (SsNode *node, uint64_t id, SsOperationKind kind,
-                  SsCommand *command, int64_t bound_ms)
+                  SsCommand *command, int64_t timeout_ms)
 {
   SsOperation *o = g_new0 (SsOperation, 1);
 
@@ -91,7 +97,7 @@
   memset (command, 0, sizeof *command);
   o->rows = json_array ();
   o->silent = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  o->due_ms = node->now_ms + bound_ms;
+  o->due_ms = node->now_ms + timeout_ms;
   g_hash_table_insert (node->operations, &o->call, o);
   return o;
 }
@@ -99,7 +105,7 @@
 /* --- updates of the configuration --- */
 
 static void
-put_update (SsNode *node, SsOperation *o)
+write_object (SsNode *node, SsOperation *o)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_PLATFORM_PUT);
 
@@ -110,7 +116,7 @@
 }
 
 static void
-get_update (SsNode *node, SsOperation *o)
+read_object (SsNode *node, SsOperation *o)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_PLATFORM_GET);
 
@@ -134,8 +140,8 @@
   return json_loadb (text, bytes, 0, NULL);
 }
 
-/* Writes JSON as the new value of KEY if it is valid.  Takes over the reference
- * to JSON.
+/* Writes JSON as the new value of KEY if it is valid and the stored version is
+ * VERSION.  Takes over the reference to JSON.
  */
 static void
 update (SsNode *node, uint64_t id, SsCommand *command, const char *key,
@@ -160,13 +166,13 @@
       return;
     }
   o = ss_operation_new (node, id, SS_OPERATION_UPDATE, command,
-                        UPDATE_BOUND_MS);
+                        UPDATE_TIMEOUT_MS);
   g_strlcpy (o->operation, operation, sizeof o->operation);
   o->key = g_strdup (key);
   o->json = g_strdup (text);
   o->version = version;
   free (text);
-  put_update (node, o);
+  write_object (node, o);
 }
 
 static void
@@ -277,9 +283,9 @@
                         "the platform does not show the change", o->version);
       return;
     }
-  message = g_strdup_printf ("conflict: version %" G_GINT64_FORMAT " won: %.*s",
-                             object->version, (int) object->value_bytes,
-                             object->value);
+  message = g_strdup_printf (
+      "conflict: the platform has version %" G_GINT64_FORMAT ": %.*s",
+      object->version, (int) object->value_bytes, object->value);
   ss_operation_end (node, o, SS_VERDICT_NOT_RUN, message, object->version);
   g_free (message);
 }
@@ -296,7 +302,7 @@
     end_update (node, o, object);
   else if (o->kind == SS_OPERATION_UPDATE && outcome == SS_PLATFORM_REFUSED)
     ss_operation_end (node, o, SS_VERDICT_NOT_RUN,
-                      "the platform does not answer", 0);
+                      "the platform refused the write or was not reached", 0);
   else
     {
       o->kind = SS_OPERATION_UPDATE_READ;
@@ -319,7 +325,7 @@
       reply_message (node, id, SS_VERDICT_NOT_RUN, "no such live vm", 0);
       return;
     }
-  o = ss_operation_new (node, id, SS_OPERATION_STOP, command, STOP_BOUND_MS);
+  o = ss_operation_new (node, id, SS_OPERATION_STOP, command, STOP_TIMEOUT_MS);
   request.call = o->call;
   e.body_case = SS__PEER__ENVELOPE__BODY_STOP_ASK;
   e.stop_ask = &request;
@@ -452,8 +458,8 @@
 tick_operation (SsNode *node, SsOperation *o)
 {
   if (o->kind == SS_OPERATION_UPDATE_READ
-      && node->now_ms - o->asked_ms >= READ_AGAIN_MS)
-    get_update (node, o);
+      && node->now_ms - o->asked_ms >= READ_RETRY_MS)
+    read_object (node, o);
   if (node->now_ms < o->due_ms)
     return;
   if (o->kind == SS_OPERATION_ROWS)
@@ -469,12 +475,12 @@
 void
 ss_admin_tick (SsNode *node)
 {
-  GList *calls;
+  GList *operations;
 
   if (g_hash_table_size (node->operations) == 0)
     return;
-  calls = g_hash_table_get_values (node->operations);
-  for (GList *l = calls; l; l = l->next)
+  operations = g_hash_table_get_values (node->operations);
+  for (GList *l = operations; l; l = l->next)
     tick_operation (node, l->data);
-  g_list_free (calls);
+  g_list_free (operations);
 }
--- a/src/core/admin_show.c
+++ b/src/core/admin_show.c
@@ -7,7 +7,7 @@
 #include "core/tables.h"
 
 /* VMs that do not answer within this time are listed in silent_vms. */
-#define ROWS_BOUND_MS 600
+#define ROWS_TIMEOUT_MS 600
 
 void
 ss_admin_show_end (SsNode *node, SsOperation *o)
@@ -46,15 +46,15 @@
   RowsRequest *request = data;
   const SsMember *m = value;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
-  Ss__Peer__RowsAsk rows = SS__PEER__ROWS_ASK__INIT;
+  Ss__Peer__RowsAsk ask = SS__PEER__ROWS_ASK__INIT;
 
   if (strcmp (key, request->node->params.vm) == 0 || (!m->live && !m->listed))
     return FALSE;
   g_hash_table_add (request->operation->silent, g_strdup (key));
-  rows.call = request->operation->call;
-  rows.table = (char *) ss_table_name (request->operation->command.table);
+  ask.call = request->operation->call;
+  ask.table = (char *) ss_table_name (request->operation->command.table);
   e.body_case = SS__PEER__ENVELOPE__BODY_ROWS_ASK;
-  e.rows_ask = &rows;
+  e.rows_ask = &ask;
   ss_node_send (request->node, key, &e);
   return FALSE;
 }
@@ -62,8 +62,8 @@
 void
 ss_admin_show (SsNode *node, uint64_t id, SsCommand *command)
 {
-  SsOperation *o
-      = ss_operation_new (node, id, SS_OPERATION_ROWS, command, ROWS_BOUND_MS);
+  SsOperation *o = ss_operation_new (node, id, SS_OPERATION_ROWS, command,
+                                     ROWS_TIMEOUT_MS);
   RowsRequest request = { node, o };
 
   json_decref (o->rows);
--- a/src/core/command.c
+++ b/src/core/command.c
@@ -282,6 +282,7 @@
 
 /* --- selecting rows --- */
 
+/* ORDER is negative, 0 or positive, as returned by strcmp. */
 static bool
 order_satisfies (SsComparison op, double order)
 {
@@ -323,6 +324,7 @@
   return order_satisfies (c->op, (double) order);
 }
 
+/* Returns an error message if ROW lacks FIELD, else NULL. */
 static char *
 check_field (const char *field, const json_t *row)
 {
--- a/src/core/command.h
+++ b/src/core/command.h
@@ -57,8 +57,8 @@
 {
   char *field;
   SsComparison op;
-  char *text;
-  double number;
+  char *text;    /* empty if the value is a number */
+  double number; /* 0 if the value is a text */
   bool is_number;
 } SsCondition;
 
@@ -84,6 +84,7 @@
 char *ss_command_init (SsCommand *command, const char *text);
 void ss_command_finish (SsCommand *command);
 
+/* ss_table_name: returns a static string. */
 const char *ss_table_name (SsTable table);
 /* ss_table_find: sets *TABLE; returns false if NAME is not a table.  Ignores
  * case.
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -628,7 +628,9 @@
  */
 void ss_admin_handle_command (SsNode *node, uint64_t id, const char *text,
                               bool may_change);
-/* ss_admin_handle_object: handles the outcome of platform call CALL. */
+/* ss_admin_handle_object: handles the outcome of platform call CALL; ignores
+ * calls of other modules.
+ */
 void ss_admin_handle_object (SsNode *node, uint64_t call,
                              SsPlatformOutcome outcome, const SsObject *object);
 /* ss_admin_handle_promotion: answers the operator command CALL, whose promotion
--- a/src/core/tables.h
+++ b/src/core/tables.h
@@ -13,7 +13,7 @@
  */
 json_t *ss_tables_rows (SsNode *node, SsTable table);
 
-/* ss_tables_is_per_vm: whether TABLE combines rows of all VMs. */
+/* ss_tables_is_per_vm: returns whether each VM has rows of its own in TABLE. */
 bool ss_tables_is_per_vm (SsTable table);
 
 #endif
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -33,8 +33,8 @@
 
 typedef struct
 {
-  bool sent; /* the request may have reached a VM */
-  long status;
+  bool sent;   /* the request may have reached a VM */
+  long status; /* HTTP status; 0: no response */
   json_t *body;
 } Response;
 
@@ -207,7 +207,7 @@
   return EXIT_MAY_HAVE_RUN;
 }
 
-/* Tries the addresses in order.  It goes on to the next one only if the command
+/* Tries the addresses in order.  Goes on to the next one only if the command
  * can't have reached a VM, so that no command runs twice.
  */
 static ExitCode
@@ -239,6 +239,10 @@
   return query;
 }
 
+/* Returns whether R, the response to a progress query, shows that the command
+ * is done: a stopped VM has no row, and a drained target has no statements
+ * left.
+ */
 static bool
 is_finished (const Response *r)
 {
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* sapphirestaird: the daemon of one entry VM. */
+/* sapphirestaird: the proxy daemon that runs on each VM. */
 #include <glib.h>
 #include <signal.h>
 #include <stdio.h>
@@ -26,11 +26,12 @@
 {
   SsRuntime *runtime;
   const char *path;
-  guint hash;
+  guint hash; /* of the file's content when it was last read */
   ev_signal on_hup;
   ev_timer poll;
 } Reload;
 
+/* Returns 0 if the file can't be read. */
 static guint
 hash_file (const char *path)
 {
--- a/src/kernel/callers.c
+++ b/src/kernel/callers.c
@@ -187,7 +187,7 @@
 
   (void) loop;
   (void) events;
-  /* A step frees no caller but its own, so the list stays valid. */
+  /* Each call frees at most its own caller, so the list stays valid. */
   for (GList *l = all; l; l = l->next)
     sweep_caller (l->data);
   g_list_free (all);
--- a/src/kernel/callers.h
+++ b/src/kernel/callers.h
@@ -20,20 +20,20 @@
 
 typedef struct SsCallers SsCallers;
 
-/* Base of a plug-in's caller, as its first member; freed with g_free. */
+/* Base struct of a plug-in's caller, its first member; freed with g_free. */
 typedef struct
 {
   SsStream stream; /* must be first: callbacks cast it to SsCaller */
   SsCallers *callers;
   uint64_t id;
   SsCallerState state;
-  char status; /* transaction status: I, T or E */
-  int64_t active_ms;
+  char status;       /* transaction status: I, T or E */
+  int64_t active_ms; /* time of the last activity, for the timeouts */
 } SsCaller;
 
 typedef struct
 {
-  uint32_t caller_bytes; /* size of the plug-in's caller */
+  uint32_t caller_bytes; /* size of the plug-in's struct for a caller */
   /* Reading pauses while more unprocessed input than this is buffered. */
   uint32_t pending_input_max_bytes;
   /* Processes one message of the input; CALLER is starting or idle.  Returns
@@ -51,7 +51,7 @@
   const SsCallersClass *klass;
   SsRuntime *runtime;
   ev_io accept_io;
-  ev_timer sweep;
+  ev_timer sweep;    /* checks the timeouts of all callers */
   GHashTable *by_id; /* id -> SsCaller; NULL: not started */
   uint64_t next_id;
 };
@@ -72,7 +72,9 @@
 
 /* ss_caller_output: returns the output buffer to append to. */
 GByteArray *ss_caller_output (SsCaller *caller);
-/* ss_caller_set_idle: marks CALLER idle; it may send its next statement. */
+/* ss_caller_set_idle: marks CALLER idle, so that its next statement is
+ * processed.
+ */
 void ss_caller_set_idle (SsCaller *caller);
 /* ss_caller_resume: flushes the output and schedules processing of the input
  * that arrived meanwhile.
--- a/src/kernel/http_outcome.c
+++ b/src/kernel/http_outcome.c
@@ -3,9 +3,9 @@
 SsPlatformOutcome
 ss_http_outcome (const SsHttpCall *call)
 {
-  if (call->end == SS_HTTP_NOT_SENT)
+  if (call->result == SS_HTTP_NOT_SENT)
     return SS_PLATFORM_REFUSED;
-  if (call->end == SS_HTTP_UNKNOWN)
+  if (call->result == SS_HTTP_UNKNOWN)
     return SS_PLATFORM_UNKNOWN;
   switch (call->status)
     {
--- a/src/kernel/httpc.c
+++ b/src/kernel/httpc.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* A connection whose peer doesn't respond for this long counts as broken;
+/* A connection whose peer doesn't respond for USER_TIMEOUT_MS counts as broken;
  * keep-alive probes detect it while it is idle.
  */
 #define KEEPALIVE_IDLE_S 1L
@@ -43,11 +43,11 @@
     curl_easy_getinfo (call->easy, CURLINFO_RESPONSE_CODE, &status);
   call->status = (int32_t) status;
   if (code == CURLE_OK)
-    call->end = SS_HTTP_ANSWERED;
+    call->result = SS_HTTP_ANSWERED;
   else if (code == CURLE_COULDNT_CONNECT)
-    call->end = SS_HTTP_NOT_SENT;
+    call->result = SS_HTTP_NOT_SENT;
   else
-    call->end = SS_HTTP_UNKNOWN;
+    call->result = SS_HTTP_UNKNOWN;
   call->on_done (call);
   free_call (call);
 }
--- a/src/kernel/httpc.h
+++ b/src/kernel/httpc.h
@@ -1,4 +1,4 @@
-/* httpc: an HTTP client, libcurl on a libev loop. */
+/* httpc: an asynchronous HTTP client, libcurl on a libev loop. */
 #ifndef SS_HTTPC_H
 #define SS_HTTPC_H
 
@@ -31,20 +31,20 @@
 
 typedef struct SsHttpCall SsHttpCall;
 
-/* Base of a call, as the first member of the user's struct; freed with g_free
- * after on_done.
+/* Base struct of a call, the first member of an embedding struct; freed with
+ * g_free after on_done.
  */
 struct SsHttpCall
 {
   SsHttpc *client;
   CURL *easy;
   struct curl_slist *headers;
-  GByteArray *answer;
-  char *body;
-  SsHttpResult end;
+  GByteArray *answer; /* body of the response */
+  char *body;         /* of the request */
+  SsHttpResult result;
   int32_t status; /* HTTP status; 0: no response */
   void (*on_done) (SsHttpCall *call);
-  /* Optional: frees what the members of the user's struct own. */
+  /* Optional: frees what the members of the embedding struct own. */
   void (*on_free) (SsHttpCall *call);
 };
 
@@ -61,7 +61,8 @@
 /* ss_http_call_add_header: adds a header line to CALL before its start. */
 void ss_http_call_add_header (SsHttpCall *call, const char *line);
 /* ss_http_call_start: sends a METHOD request to URL with call->body (owned by
- * CALL; NULL: no body).
+ * CALL; NULL: no body).  The loop calls on_done, at the latest once TIMEOUT_MS
+ * has passed.  CALL must be zeroed except for headers, body and the callbacks.
  */
 void ss_http_call_start (SsHttpc *client, SsHttpCall *call, const char *method,
                          const char *url, int32_t timeout_ms);
--- a/src/kernel/httpd.c
+++ b/src/kernel/httpd.c
@@ -181,8 +181,8 @@
     return;
   request->suspended = false;
   MHD_resume_connection (request->connection);
-  /* MHD_run must not be re-entered, and the handler may have been called from
-   * it: run it from the loop.
+  /* MHD_run must not be re-entered, and this may be called from a handler that
+   * it runs: let the loop call it.
    */
   ev_timer_stop (h->loop, &h->timer);
   ev_timer_set (&h->timer, 0, 0);
--- a/src/kernel/httpd.h
+++ b/src/kernel/httpd.h
@@ -43,7 +43,7 @@
   char client_ip[INET_ADDRSTRLEN];
   int32_t reply_status; /* 0: close the connection without a reply */
   char *reply_body;
-  const char *reply_type;
+  const char *reply_type; /* content type */
   bool replied;
   bool suspended;
   void *data; /* for use by the handler */
@@ -52,15 +52,17 @@
 /* ss_httpd_init: listens on IP and PORT; returns false on failure. */
 bool ss_httpd_init (SsHttpd *httpd, const SsHttpdClass *klass,
                     struct ev_loop *loop, const char *ip, uint16_t port);
+/* ss_httpd_finish: stops the server; does nothing if init failed. */
 void ss_httpd_finish (SsHttpd *httpd);
 
 /* ss_http_reply: replies to REQUEST; STATUS 0 closes the connection without a
- * reply.  TYPE is a static string.
+ * reply.  TYPE is the content type, a static string; BODY may be NULL.
  */
 void ss_http_reply (SsHttpRequest *request, int32_t status, const char *type,
                     const char *body);
 
-/* ss_http_query, ss_http_header: return a query argument or a header, or NULL.
+/* ss_http_query, ss_http_header: return a query argument or a request header,
+ * or NULL.
  */
 const char *ss_http_query (SsHttpRequest *request, const char *name);
 const char *ss_http_header (SsHttpRequest *request, const char *name);
--- a/src/kernel/plugin.c
+++ b/src/kernel/plugin.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #define TICK_MIN_S 0.001
-/* Share of vm.grace_s that bounds a graceful shutdown; the rest is left for the
- * last responses.
+/* Share of vm.grace_s, the time until a stop is forced, that bounds a graceful
+ * shutdown; the rest is left for the last responses.
  */
 #define SHUTDOWN_GRACE_SHARE 0.75
 
@@ -88,6 +88,7 @@
   ss_runtime_event (w->data, &e);
 }
 
+/* Called before the loop waits; sets the timer to the core's next deadline. */
 static void
 on_prepare (struct ev_loop *loop, ev_prepare *w, int events)
 {
@@ -104,7 +105,7 @@
 }
 
 static void
-fill_pace (SsNodeParams *params, const SsSettings *settings)
+fill_timing (SsNodeParams *params, const SsSettings *settings)
 {
 #define X(field, fallback, lowest, highest)                                    \
   params->timing.field = settings->field;
@@ -134,7 +135,7 @@
   params->apply_ms = settings->apply_ms;
   params->drain_ms = settings->drain_ms;
   params->seed_port = (uint32_t) settings->seed_port;
-  fill_pace (params, settings);
+  fill_timing (params, settings);
 }
 
 char *
@@ -169,7 +170,7 @@
 }
 
 /* The core and the plug-ins may borrow strings from any settings that were in
- * use, so all of them are kept until ss_runtime_finish.
+ * use, so all settings are kept until ss_runtime_finish.
  */
 static void
 keep_settings (SsRuntime *runtime, SsSettings *settings)
@@ -198,7 +199,7 @@
   ss_log_level_parse (settings->log_level, &level);
   runtime->log.min_level = level;
   runtime->log.spans = settings->log_spans != 0;
-  fill_pace (&runtime->node.params, settings);
+  fill_timing (&runtime->node.params, settings);
   ss_log_write (&runtime->log, SS_EVENT_LOG_RELOADED, "subject", path, NULL);
 }
 
--- a/src/kernel/plugin.h
+++ b/src/kernel/plugin.h
@@ -35,6 +35,7 @@
   /* Returns NULL on success, else an error message to be freed with g_free. */
   char *(*init) (SsRuntime *runtime);
   void (*finish) (SsRuntime *runtime);
+  /* Carries out ACTION, of a kind in handles; it is borrowed for the call. */
   void (*on_action) (SsRuntime *runtime, SsAction *action);
 } SsPlugin;
 
@@ -45,10 +46,11 @@
   const SsSettings *settings;
   SsLog log;
   SsNode node;
-  ev_timer tick;
-  ev_prepare prepare;
+  ev_timer tick;      /* fires at the core's next deadline */
+  ev_prepare prepare; /* sets tick */
   SsInterface interface;
-  GPtrArray *reloaded_settings; /* settings read by reloads; NULL: none */
+  GPtrArray *reloaded_settings; /* all SsSettings read by reloads, also invalid
+                                   ones; NULL: none */
   int32_t exit_code;
 };
 
@@ -57,7 +59,9 @@
 /* ss_interface_parse: returns false if NAME is not an interface. */
 bool ss_interface_parse (const char *name, SsInterface *interface);
 
-/* ss_plugin_register: PLUGIN must be static. */
+/* ss_plugin_register: adds PLUGIN, which must be static; aborts if there are
+ * more than SS_PLUGINS_MAX.
+ */
 void ss_plugin_register (const SsPlugin *plugin);
 
 /* SS_PLUGIN_REGISTER: registers a plug-in before main runs. */
--- a/src/kernel/settings.h
+++ b/src/kernel/settings.h
@@ -28,7 +28,10 @@
   X (promotions_at, "platform.promotions_at", "")                              \
   X (log_level, "log.level", "info")
 
-/* X (field, key, default (-1: required), lowest, highest) */
+/* X (field, key, default, lowest, highest).  Default -1: required.  Default 0
+ * of a port: not set; caller_port and platform_port are required unless
+ * vm.callers_at and platform.at give them.
+ */
 #define SS_SETTINGS_INTEGERS(X)                                                \
   X (caller_port, "vm.caller_port", 0, 1, 65535)                               \
   X (peer_port, "vm.peer_port", -1, 1, 65535)                                  \
@@ -71,9 +74,9 @@
 
 /* ss_settings_init: reads and validates PATH.
  *
- * Returns NULL on success, else an error message to be freed with g_free, which
- * names the file, the line, the key and the allowed values.  ss_settings_finish
- * is due in either case.
+ * Returns NULL on success, else an error message to be freed with g_free.  It
+ * names the file, the key and, if they apply, the line and the allowed values.
+ * ss_settings_finish is due in either case.
  */
 char *ss_settings_init (SsSettings *settings, const char *path);
 void ss_settings_finish (SsSettings *settings);
--- a/src/kernel/stream.c
+++ b/src/kernel/stream.c
@@ -10,9 +10,9 @@
 
 #define READ_CHUNK_BYTES 65536
 #define LISTEN_BACKLOG 1024
-/* An outgoing connection whose peer doesn't respond for this long counts as
- * broken.  The bound is shorter than the usual statement timeouts and than the
- * retransmissions of a round trip, and longer than a burst of packet loss.
+/* An outgoing connection whose peer doesn't respond for USER_TIMEOUT_MS counts
+ * as broken.  This time is shorter than the usual statement timeouts and than
+ * the retransmissions of a round trip, and longer than a burst of packet loss.
  */
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
--- a/src/kernel/stream.h
+++ b/src/kernel/stream.h
@@ -65,14 +65,16 @@
 /* ss_stream_schedule_input: has the loop call on_input if input is left. */
 void ss_stream_schedule_input (SsStream *stream);
 
-/* ss_stream_listen: returns a listening socket, or -1 with errno set. */
+/* ss_stream_listen: returns a listening socket, or -1 with errno set; IP is an
+ * IPv4 address.
+ */
 int ss_stream_listen (const char *ip, uint16_t port);
 /* ss_stream_connect: starts a connection from SOURCE_IP (NULL: any); returns a
  * socket, or -1 with errno set.
  */
 int ss_stream_connect (const char *source_ip, const char *ip, uint16_t port);
-/* ss_stream_accept: returns a socket, or -1 if no connection is pending;
- * PEER_IP is NULL or has at least INET_ADDRSTRLEN bytes.
+/* ss_stream_accept: returns a socket, or -1 if no connection is pending or
+ * accept fails.  PEER_IP is NULL or has at least INET_ADDRSTRLEN bytes.
  */
 int ss_stream_accept (int listen_fd, char *peer_ip);
 
--- a/src/kernel/target_connections.c
+++ b/src/kernel/target_connections.c
@@ -10,65 +10,65 @@
 }
 
 void
-ss_target_connection_clear (SsTargetConnection *link)
+ss_target_connection_clear (SsTargetConnection *connection)
 {
-  g_clear_pointer (&link->wire, g_byte_array_unref);
-  free_cells (link->row, link->row_cells);
-  link->row_cells = 0;
+  g_clear_pointer (&connection->wire, g_byte_array_unref);
+  free_cells (connection->row, connection->row_cells);
+  connection->row_cells = 0;
 }
 
 static void
-free_link (SsTargetConnection *link)
+free_connection (SsTargetConnection *connection)
 {
-  SsTargetConnections *links = link->links;
+  SsTargetConnections *connections = connection->connections;
 
-  ev_timer_stop (links->runtime->loop, &link->failed);
-  g_hash_table_remove (links->by_id, &link->id);
-  links->klass->finish (link);
-  ss_target_connection_clear (link);
-  g_free (link);
+  ev_timer_stop (connections->runtime->loop, &connection->failed);
+  g_hash_table_remove (connections->by_id, &connection->id);
+  connections->klass->finish (connection);
+  ss_target_connection_clear (connection);
+  g_free (connection);
 }
 
 void
-ss_target_connection_add_cell (SsTargetConnection *link, const char *text)
+ss_target_connection_add_cell (SsTargetConnection *connection, const char *text)
 {
-  if (link->row_cells < SS_TARGET_ROW_CELLS_MAX)
-    link->row[link->row_cells++] = g_strdup (text);
+  if (connection->row_cells < SS_TARGET_ROW_CELLS_MAX)
+    connection->row[connection->row_cells++] = g_strdup (text);
 }
 
 static void
 on_failed (struct ev_loop *loop, ev_timer *w, int events)
 {
-  SsTargetConnection *link = w->data;
+  SsTargetConnection *connection = w->data;
 
   (void) loop;
   (void) events;
-  link->links->klass->on_failed (link);
+  connection->connections->klass->on_failed (connection);
 }
 
 void
-ss_target_connection_schedule_failure (SsTargetConnection *link)
+ss_target_connection_schedule_failure (SsTargetConnection *connection)
 {
-  ev_timer_start (link->links->runtime->loop, &link->failed);
+  ev_timer_start (connection->connections->runtime->loop, &connection->failed);
 }
 
 void
-ss_target_connection_ready (SsTargetConnection *link)
+ss_target_connection_ready (SsTargetConnection *connection)
 {
   SsEvent e = { .kind = SS_EVENT_TARGET_READY };
 
-  e.target.connection = link->id;
-  ss_runtime_event (link->links->runtime, &e);
+  e.target.connection = connection->id;
+  ss_runtime_event (connection->connections->runtime, &e);
 }
 
 void
-ss_target_connection_closed (SsTargetConnection *link, SsEvent *event)
+ss_target_connection_closed (SsTargetConnection *connection, SsEvent *event)
 {
-  SsRuntime *runtime = link->links->runtime;
+  SsRuntime *runtime = connection->connections->runtime;
 
   event->kind = SS_EVENT_TARGET_CLOSED;
-  event->target.connection = link->id;
-  free_link (link);
+  event->target.connection = connection->id;
+  free_connection (connection);
   ss_runtime_event (runtime, event);
 }
 
@@ -76,87 +76,90 @@
  * response is moved out of the connection first.
  */
 void
-ss_target_connection_result (SsTargetConnection *link, SsTargetResult *result)
+ss_target_connection_result (SsTargetConnection *connection,
+                             SsTargetResult *result)
 {
   SsEvent e = { .kind = SS_EVENT_TARGET_RESULT };
   char *row[SS_TARGET_ROW_CELLS_MAX];
-  uint32_t cells = link->row_cells;
-  GByteArray *wire = g_steal_pointer (&link->wire);
+  uint32_t cells = connection->row_cells;
+  GByteArray *wire = g_steal_pointer (&connection->wire);
 
-  memcpy (row, link->row, sizeof row);
-  link->row_cells = 0;
+  memcpy (row, connection->row, sizeof row);
+  connection->row_cells = 0;
   result->wire
       = wire ? g_byte_array_free_to_bytes (wire) : g_bytes_new (NULL, 0);
   result->row = cells ? (const char *const *) row : NULL;
   result->row_cells = cells;
-  e.target_result.connection = link->id;
+  e.target_result.connection = connection->id;
   e.target_result.result = result;
-  ss_runtime_event (link->links->runtime, &e);
+  ss_runtime_event (connection->connections->runtime, &e);
   free_cells (row, cells);
   g_bytes_unref (result->wire);
 }
 
 static void
-start (SsTargetConnections *links, const SsAction *a)
+start (SsTargetConnections *connections, const SsAction *a)
 {
-  SsTargetConnection *link = g_malloc0 (links->klass->connection_bytes);
-
-  link->links = links;
-  link->id = a->id;
-  ev_timer_init (&link->failed, on_failed, 0, 0);
-  link->failed.data = link;
-  g_hash_table_insert (links->by_id, &link->id, link);
-  links->klass->start (link, a);
+  SsTargetConnection *connection
+      = g_malloc0 (connections->klass->connection_bytes);
+
+  connection->connections = connections;
+  connection->id = a->id;
+  ev_timer_init (&connection->failed, on_failed, 0, 0);
+  connection->failed.data = connection;
+  g_hash_table_insert (connections->by_id, &connection->id, connection);
+  connections->klass->start (connection, a);
 }
 
 static void
-query (SsTargetConnection *link, const SsAction *a)
+query (SsTargetConnection *connection, const SsAction *a)
 {
-  ss_target_connection_clear (link);
-  link->want_row = a->want_row;
-  link->links->klass->query (link, a);
+  ss_target_connection_clear (connection);
+  connection->want_row = a->want_row;
+  connection->connections->klass->query (connection, a);
 }
 
 SsTargetConnection *
-ss_target_connections_find (const SsTargetConnections *links, uint64_t id)
+ss_target_connections_find (const SsTargetConnections *connections, uint64_t id)
 {
-  return g_hash_table_lookup (links->by_id, &id);
+  return g_hash_table_lookup (connections->by_id, &id);
 }
 
 void
-ss_target_connections_action (SsTargetConnections *links,
+ss_target_connections_action (SsTargetConnections *connections,
                               const SsAction *action)
 {
-  SsTargetConnection *link = ss_target_connections_find (links, action->id);
+  SsTargetConnection *connection
+      = ss_target_connections_find (connections, action->id);
 
   if (action->kind == SS_ACTION_TARGET_CONNECT)
-    start (links, action);
-  else if (link && action->kind == SS_ACTION_TARGET_QUERY)
-    query (link, action);
-  else if (link && action->kind == SS_ACTION_TARGET_CLOSE)
-    free_link (link);
+    start (connections, action);
+  else if (connection && action->kind == SS_ACTION_TARGET_QUERY)
+    query (connection, action);
+  else if (connection && action->kind == SS_ACTION_TARGET_CLOSE)
+    free_connection (connection);
 }
 
 void
-ss_target_connections_init (SsTargetConnections *links,
+ss_target_connections_init (SsTargetConnections *connections,
                             const SsTargetConnectionsClass *klass,
                             SsRuntime *runtime)
 {
-  links->klass = klass;
-  links->runtime = runtime;
-  links->by_id = g_hash_table_new (g_int64_hash, g_int64_equal);
+  connections->klass = klass;
+  connections->runtime = runtime;
+  connections->by_id = g_hash_table_new (g_int64_hash, g_int64_equal);
 }
 
 void
-ss_target_connections_finish (SsTargetConnections *links)
+ss_target_connections_finish (SsTargetConnections *connections)
 {
   GList *all;
 
-  if (!links->by_id)
+  if (!connections->by_id)
     return;
-  all = g_hash_table_get_values (links->by_id);
+  all = g_hash_table_get_values (connections->by_id);
   for (GList *l = all; l; l = l->next)
-    free_link (l->data);
+    free_connection (l->data);
   g_list_free (all);
-  g_clear_pointer (&links->by_id, g_hash_table_destroy);
+  g_clear_pointer (&connections->by_id, g_hash_table_destroy);
 }
--- a/src/kernel/target_connections.h
+++ b/src/kernel/target_connections.h
@@ -17,12 +17,13 @@
 
 typedef struct SsTargetConnections SsTargetConnections;
 
-/* Base of a plug-in's connection, as its first member; freed with g_free. */
+/* Base struct of a plug-in's connection, its first member; freed with g_free.
+ */
 typedef struct
 {
-  SsTargetConnections *links;
+  SsTargetConnections *connections;
   uint64_t id;
-  ev_timer failed;  /* reports a connect or a query that failed at once */
+  ev_timer failed;  /* reports from the loop that a call failed at once */
   bool want_row;    /* store the first row of the response */
   GByteArray *wire; /* response so far, in the callers' protocol; NULL: none */
   char *row[SS_TARGET_ROW_CELLS_MAX]; /* first row of the response */
@@ -33,13 +34,13 @@
 {
   uint32_t connection_bytes; /* size of the plug-in's connection */
   /* Starts to connect to ACTION's address. */
-  void (*start) (SsTargetConnection *link, const SsAction *action);
-  /* Sends ACTION's statement; the previous response is cleared. */
-  void (*query) (SsTargetConnection *link, const SsAction *action);
+  void (*start) (SsTargetConnection *connection, const SsAction *action);
+  /* Sends ACTION's statement; the previous response is already cleared. */
+  void (*query) (SsTargetConnection *connection, const SsAction *action);
   /* Reports the failure with ss_target_connection_closed. */
-  void (*on_failed) (SsTargetConnection *link);
+  void (*on_failed) (SsTargetConnection *connection);
   /* Releases the plug-in's resources. */
-  void (*finish) (SsTargetConnection *link);
+  void (*finish) (SsTargetConnection *connection);
 } SsTargetConnectionsClass;
 
 struct SsTargetConnections
@@ -54,40 +55,45 @@
   (SS_HANDLES (TARGET_CONNECT) | SS_HANDLES (TARGET_QUERY)                     \
    | SS_HANDLES (TARGET_CLOSE))
 
-void ss_target_connections_init (SsTargetConnections *links,
+void ss_target_connections_init (SsTargetConnections *connections,
                                  const SsTargetConnectionsClass *klass,
                                  SsRuntime *runtime);
 /* ss_target_connections_finish: closes all connections; does nothing if init
  * was not called.
  */
-void ss_target_connections_finish (SsTargetConnections *links);
+void ss_target_connections_finish (SsTargetConnections *connections);
 /* ss_target_connections_action: carries out a connect, a query or a close. */
-void ss_target_connections_action (SsTargetConnections *links,
+void ss_target_connections_action (SsTargetConnections *connections,
                                    const SsAction *action);
 /* ss_target_connections_find: returns NULL if the core closed the connection
  * meanwhile. */
 SsTargetConnection *
-ss_target_connections_find (const SsTargetConnections *links, uint64_t id);
+ss_target_connections_find (const SsTargetConnections *connections,
+                            uint64_t id);
 
 /* ss_target_connection_add_cell: appends a copy of TEXT to the stored row;
  * cells beyond SS_TARGET_ROW_CELLS_MAX are dropped.
  */
-void ss_target_connection_add_cell (SsTargetConnection *link, const char *text);
+void ss_target_connection_add_cell (SsTargetConnection *connection,
+                                    const char *text);
 /* ss_target_connection_clear: discards the response. */
-void ss_target_connection_clear (SsTargetConnection *link);
+void ss_target_connection_clear (SsTargetConnection *connection);
 /* ss_target_connection_schedule_failure: has the loop call on_failed. */
-void ss_target_connection_schedule_failure (SsTargetConnection *link);
+void ss_target_connection_schedule_failure (SsTargetConnection *connection);
 
 /* The following functions pass an event to the core, which may close or reuse
- * LINK: don't access it afterwards.
+ * CONNECTION: don't access it afterwards.
+ */
+/* ss_target_connection_ready: reports that CONNECTION is established. */
+void ss_target_connection_ready (SsTargetConnection *connection);
+/* ss_target_connection_closed: frees CONNECTION and reports its end.
+ * EVENT->target gives the reason; its member connection is set here.
  */
-void ss_target_connection_ready (SsTargetConnection *link);
-/* ss_target_connection_closed: frees LINK and reports its end.  EVENT->target
- * gives the reason; its member connection is set here.
+void ss_target_connection_closed (SsTargetConnection *connection,
+                                  SsEvent *event);
+/* ss_target_connection_result: reports RESULT with CONNECTION's wire and row.
  */
-void ss_target_connection_closed (SsTargetConnection *link, SsEvent *event);
-/* ss_target_connection_result: reports RESULT with LINK's wire and row. */
-void ss_target_connection_result (SsTargetConnection *link,
+void ss_target_connection_result (SsTargetConnection *connection,
                                   SsTargetResult *result);
 
 #endif
