--- a/src/core/admin.c
+++ b/src/core/admin.c
@@ -462,7 +462,7 @@
     read_object (node, o);
   if (node->now_ms < o->due_ms)
     return;
-  if (o->kind == SS_OPERATION_ROWS)
+  if (o->kind == SS_OPERATION_SHOW)
     ss_admin_show_end (node, o);
   else
     ss_operation_end (node, o, SS_VERDICT_MAY_HAVE_RUN,
--- a/src/core/admin_show.c
+++ b/src/core/admin_show.c
@@ -62,7 +62,7 @@
 void
 ss_admin_show (SsNode *node, uint64_t id, SsCommand *command)
 {
-  SsOperation *o = ss_operation_new (node, id, SS_OPERATION_ROWS, command,
+  SsOperation *o = ss_operation_new (node, id, SS_OPERATION_SHOW, command,
                                      ROWS_TIMEOUT_MS);
   RowsRequest request = { node, o };
 
@@ -105,7 +105,7 @@
   SsOperation *o = ss_operation_find (node, reply->call);
   json_t *rows;
 
-  if (!o || o->kind != SS_OPERATION_ROWS
+  if (!o || o->kind != SS_OPERATION_SHOW
       || !g_hash_table_remove (o->silent, from))
     return;
   rows = json_loadb ((const char *) reply->rows.data, reply->rows.len, 0, NULL);
--- a/src/core/operation.h
+++ b/src/core/operation.h
@@ -7,7 +7,7 @@
 
 typedef enum
 {
-  SS_OPERATION_ROWS,        /* show: rows of other VMs are pending */
+  SS_OPERATION_SHOW,        /* rows of other VMs are pending */
   SS_OPERATION_UPDATE,      /* a write to the platform is pending */
   SS_OPERATION_UPDATE_READ, /* its outcome is unknown: reads the object back */
   SS_OPERATION_PROMOTE,
--- a/src/kernel/callers.h
+++ b/src/kernel/callers.h
@@ -72,7 +72,7 @@
 
 /* ss_caller_output: returns the output buffer to append to. */
 GByteArray *ss_caller_output (SsCaller *caller);
-/* ss_caller_set_idle: marks CALLER idle, so that its next statement is
+/* ss_caller_set_idle: marks CALLER idle, so that its next statement may be
  * processed.
  */
 void ss_caller_set_idle (SsCaller *caller);
@@ -82,13 +82,17 @@
 void ss_caller_resume (SsCaller *caller);
 /* ss_caller_close: closes the connection once the output is sent. */
 void ss_caller_close (SsCaller *caller);
-/* ss_caller_close_and_notify: like ss_caller_close, and notifies the core. */
+/* ss_caller_close_and_notify: like ss_caller_close, and notifies the core if
+ * CALLER has got past its start-up message.
+ */
 void ss_caller_close_and_notify (SsCaller *caller);
 /* ss_caller_free: closes the connection at once and frees CALLER; doesn't
  * notify the core.
  */
 void ss_caller_free (SsCaller *caller);
-/* ss_caller_free_and_notify: like ss_caller_free, and notifies the core. */
+/* ss_caller_free_and_notify: like ss_caller_free, and notifies the core under
+ * the same condition.
+ */
 void ss_caller_free_and_notify (SsCaller *caller);
 
 #endif
--- a/src/kernel/httpd.h
+++ b/src/kernel/httpd.h
@@ -1,6 +1,7 @@
 /* httpd: an HTTP server, libmicrohttpd on a libev loop.
  *
- * Shared by the administration API and by the platform stand-in.
+ * Shared by the administration API, the readiness probe and the stand-ins for
+ * the platform and the network.
  */
 #ifndef SS_HTTPD_H
 #define SS_HTTPD_H
--- a/src/kernel/plugin.h
+++ b/src/kernel/plugin.h
@@ -34,6 +34,7 @@
   void (*prepare) (const SsSettings *settings, SsNodeParams *params);
   /* Returns NULL on success, else an error message to be freed with g_free. */
   char *(*init) (SsRuntime *runtime);
+  /* Also called if init failed or was not called. */
   void (*finish) (SsRuntime *runtime);
   /* Carries out ACTION, of a kind in handles; it is borrowed for the call. */
   void (*on_action) (SsRuntime *runtime, SsAction *action);
@@ -71,9 +72,9 @@
     ss_plugin_register (&(plugin));                                            \
   }
 
-/* ss_runtime_init: starts the core and the plug-ins; returns NULL on success,
- * else an error message to be freed with g_free.  ss_runtime_finish is due in
- * either case.
+/* ss_runtime_init: starts the core and the plug-ins; RUNTIME must be zeroed.
+ * Returns NULL on success, else an error message to be freed with g_free.
+ * ss_runtime_finish is due in either case.
  */
 char *ss_runtime_init (SsRuntime *runtime, struct ev_loop *loop,
                        const SsClock *clock, const SsSettings *settings);
