--- a/src/kernel/plugin.h
+++ b/src/kernel/plugin.h
@@ -34,7 +34,9 @@
   void (*prepare) (const SsSettings *settings, SsNodeParams *params);
   /* Returns NULL on success, else an error message to be freed with g_free. */
   char *(*init) (SsRuntime *runtime);
+  /* Also called if init failed or was not called. */
   void (*finish) (SsRuntime *runtime);
+  /* Carries out ACTION, of a kind in handles; it is borrowed for the call. */
   void (*on_action) (SsRuntime *runtime, SsAction *action);
 } SsPlugin;
 
@@ -45,10 +47,11 @@
   const SsSettings *settings;
   SsLog log;
   SsNode node;
-  ev_timer tick;
-  ev_prepare prepare;
+  ev_timer tick;      /* fires at the core's next deadline */
+  ev_prepare prepare; /* sets tick */
   SsInterface interface;
-  GPtrArray *reloaded_settings; /* settings read by reloads; NULL: none */
+  GPtrArray *reloaded_settings; /* all SsSettings read by reloads, also invalid
+                                   ones; NULL: none */
   int32_t exit_code;
 };
 
@@ -57,7 +60,9 @@
 /* ss_interface_parse: returns false if NAME is not an interface. */
 bool ss_interface_parse (const char *name, SsInterface *interface);
 
-/* ss_plugin_register: PLUGIN must be static. */
+/* ss_plugin_register: adds PLUGIN, which must be static; aborts if there are
+ * more than SS_PLUGINS_MAX.
+ */
 void ss_plugin_register (const SsPlugin *plugin);
 
 /* SS_PLUGIN_REGISTER: registers a plug-in before main runs. */
@@ -67,9 +72,9 @@
     ss_plugin_register (&(plugin));                                            \
   }
 
-/* ss_runtime_init: starts the core and the plug-ins; returns NULL on success,
- * else an error message to be freed with g_free.  ss_runtime_finish is due in
- * either case.
+/* ss_runtime_init: starts the core and the plug-ins; RUNTIME must be zeroed.
+ * Returns NULL on success, else an error message to be freed with g_free.
+ * ss_runtime_finish is due in either case.
  */
 char *ss_runtime_init (SsRuntime *runtime, struct ev_loop *loop,
                        const SsClock *clock, const SsSettings *settings);
