--- a/src/plugins/admin_http.c
+++ b/src/plugins/admin_http.c
@@ -37,7 +37,7 @@
   return g_string_free (out, FALSE);
 }
 
-/* The time that this takes does not depend on how many characters match. */
+/* Compares in a time that does not depend on how many characters match. */
 static bool
 is_same_token (const char *given, const char *wanted)
 {
--- a/src/plugins/peer.c
+++ b/src/plugins/peer.c
@@ -14,8 +14,8 @@
 #define FRAME_MAX_BYTES (24 * 1024 * 1024)
 #define NAME_MAX_BYTES 128
 #define OUTPUT_MAX_BYTES (32 * 1024 * 1024)
-#define REDIAL_MS 150
-#define DIAL_TIMEOUT_MS 1000
+#define RECONNECT_DELAY_MS 150
+#define CONNECT_TIMEOUT_MS 1000
 
 typedef struct
 {
@@ -26,14 +26,14 @@
 typedef struct
 {
   SsStream stream; /* first: callbacks cast to this struct */
-  char *vm;
+  char *vm;        /* name of the receiver */
   char *ip;
   uint16_t port;
   bool open;
   bool connected;
   bool flush_due; /* is in peers.unflushed */
-  int64_t dial_after_ms;
-  int64_t dialled_ms;
+  int64_t reconnect_after_ms;
+  int64_t connect_started_ms;
 } Outbound;
 
 static struct
@@ -169,7 +169,7 @@
     ss_stream_finish (&out->stream);
   out->open = false;
   out->connected = false;
-  out->dial_after_ms = now_ms () + REDIAL_MS;
+  out->reconnect_after_ms = now_ms () + RECONNECT_DELAY_MS;
 }
 
 static void
@@ -195,7 +195,7 @@
 }
 
 static void
-dial (Outbound *out)
+start_connect (Outbound *out)
 {
   static const SsStreamClass klass
       = { on_unexpected, on_outbound_closed, on_connected };
@@ -203,13 +203,13 @@
 
   if (fd < 0)
     {
-      out->dial_after_ms = now_ms () + REDIAL_MS;
+      out->reconnect_after_ms = now_ms () + RECONNECT_DELAY_MS;
       return;
     }
   ss_stream_init (&out->stream, &klass, peers.runtime->loop, fd, true);
   out->open = true;
   out->connected = false;
-  out->dialled_ms = now_ms ();
+  out->connect_started_ms = now_ms ();
   put_frame (out, peers.runtime->settings->vm_name,
              (uint32_t) strlen (peers.runtime->settings->vm_name));
 }
@@ -224,10 +224,10 @@
   if (!out)
     return;
   if (out->open && !out->connected
-      && now_ms () - out->dialled_ms >= DIAL_TIMEOUT_MS)
+      && now_ms () - out->connect_started_ms >= CONNECT_TIMEOUT_MS)
     close_outbound (out);
-  if (!out->open && now_ms () >= out->dial_after_ms)
-    dial (out);
+  if (!out->open && now_ms () >= out->reconnect_after_ms)
+    start_connect (out);
   if (!out->open || ss_stream_output (&out->stream)->len > OUTPUT_MAX_BYTES)
     {
       /* A caller may wait for the answer, so the loss is reported. */
--- a/src/plugins/pgwire.h
+++ b/src/plugins/pgwire.h
@@ -1,8 +1,8 @@
 /* pgwire: the server side of the PostgreSQL protocol, version 3.
  *
  * Parses and formats messages in byte arrays; does not use sockets.  Shared by
- * the daemon's plug-in for callers and the target stand-in.  Follows the
- * published description of the protocol.
+ * the daemon's plug-ins for callers and for targets and by the target stand-in.
+ * Follows the published description of the protocol.
  */
 #ifndef SS_PGWIRE_H
 #define SS_PGWIRE_H
@@ -65,9 +65,8 @@
 const char *ss_pgwire_startup_value (const SsPgwireMessage *message,
                                      const char *name);
 
-/* ss_pgwire_parse_options: calls FOUND for each "-c name=value", "-cname=value"
- * or
- * "--name=value" in OPTIONS.
+/* ss_pgwire_parse_options: calls FOUND for each setting in OPTIONS, which has
+ * the form "-c name=value", "-cname=value" or "--name=value".
  */
 void ss_pgwire_parse_options (const char *options,
                               void (*found) (void *data, const char *name,
--- a/src/plugins/pqtarget.c
+++ b/src/plugins/pqtarget.c
@@ -13,13 +13,13 @@
 
 typedef struct
 {
-  SsTargetConnection link; /* first: callbacks cast to this struct */
+  SsTargetConnection base; /* first: callbacks cast to this struct */
   PGconn *pq;
   ev_io io;
   bool ready;
   bool busy;
   /* Of the answer that is being read. */
-  uint32_t results;
+  uint32_t results; /* number received so far */
   uint32_t skip_results;
   bool has_error;
   char sqlstate[6];
@@ -27,14 +27,14 @@
   SsPosition commit; /* the last commit position that was reported */
 } TargetConnection;
 
-static SsTargetConnections links;
+static SsTargetConnections targets;
 
 static void
-finish_link (SsTargetConnection *link)
+finish_connection (SsTargetConnection *connection)
 {
-  TargetConnection *t = (TargetConnection *) link;
+  TargetConnection *t = (TargetConnection *) connection;
 
-  ev_io_stop (links.runtime->loop, &t->io);
+  ev_io_stop (targets.runtime->loop, &t->io);
   g_free (t->tag);
   PQfinish (t->pq);
 }
@@ -50,7 +50,7 @@
       = starting && strstr (message, strerror (ECONNREFUSED)) != NULL;
   if (starting && strstr (message, "too many clients"))
     e.target.sqlstate = SS_SQLSTATE_TOO_MANY_CONNECTIONS;
-  ss_target_connection_closed (&t->link, &e);
+  ss_target_connection_closed (&t->base, &e);
 }
 
 static void
@@ -59,9 +59,9 @@
   if (ev_is_active (&t->io) && t->io.events == events
       && t->io.fd == PQsocket (t->pq) && t->ready)
     return;
-  ev_io_stop (links.runtime->loop, &t->io);
+  ev_io_stop (targets.runtime->loop, &t->io);
   ev_io_set (&t->io, PQsocket (t->pq), events);
-  ev_io_start (links.runtime->loop, &t->io);
+  ev_io_start (targets.runtime->loop, &t->io);
 }
 
 /* --- answers --- */
@@ -73,7 +73,7 @@
 
   t->has_error = true;
   g_strlcpy (t->sqlstate, sqlstate ? sqlstate : "XX000", sizeof t->sqlstate);
-  ss_pgwire_error (t->link.wire, "ERROR", t->sqlstate,
+  ss_pgwire_error (t->base.wire, "ERROR", t->sqlstate,
                    PQresultErrorField (r, PG_DIAG_MESSAGE_PRIMARY)
                        ? PQresultErrorField (r, PG_DIAG_MESSAGE_PRIMARY)
                        : PQresultErrorMessage (r),
@@ -93,12 +93,12 @@
       description[i].name = PQfname (r, i);
       description[i].type_id = PQftype (r, i);
     }
-  ss_pgwire_row_description (t->link.wire, description, (uint16_t) columns);
+  ss_pgwire_row_description (t->base.wire, description, (uint16_t) columns);
   for (int row = 0; row < PQntuples (r); row++)
     {
       for (int i = 0; i < columns; i++)
         cells[i] = PQgetisnull (r, row, i) ? NULL : PQgetvalue (r, row, i);
-      ss_pgwire_row (t->link.wire, cells, (uint16_t) columns);
+      ss_pgwire_row (t->base.wire, cells, (uint16_t) columns);
     }
   g_free (description);
   g_free (cells);
@@ -110,7 +110,7 @@
   if (PQntuples (r) < 1)
     return;
   for (int i = 0; i < PQnfields (r); i++)
-    ss_target_connection_add_cell (&t->link, PQgetvalue (r, 0, i));
+    ss_target_connection_add_cell (&t->base, PQgetvalue (r, 0, i));
 }
 
 static void
@@ -119,16 +119,16 @@
   switch (PQresultStatus (r))
     {
     case PGRES_TUPLES_OK:
-      if (t->link.want_row)
+      if (t->base.want_row)
         keep_row (t, r);
       put_rows (t, r);
-      ss_pgwire_complete (t->link.wire, PQcmdStatus (r));
+      ss_pgwire_complete (t->base.wire, PQcmdStatus (r));
       break;
     case PGRES_COMMAND_OK:
-      ss_pgwire_complete (t->link.wire, PQcmdStatus (r));
+      ss_pgwire_complete (t->base.wire, PQcmdStatus (r));
       break;
     case PGRES_EMPTY_QUERY:
-      ss_pgwire_empty_query (t->link.wire);
+      ss_pgwire_empty_query (t->base.wire);
       break;
     default:
       put_error (t, r);
@@ -147,12 +147,12 @@
   g_free (t->tag);
   t->tag = g_strdup (PQcmdStatus (r));
   put_result (t, r);
-  if (t->link.wire->len <= WIRE_MAX_BYTES)
+  if (t->base.wire->len <= WIRE_MAX_BYTES)
     return;
-  g_byte_array_set_size (t->link.wire, 0);
+  g_byte_array_set_size (t->base.wire, 0);
   t->has_error = true;
   g_strlcpy (t->sqlstate, "54000", sizeof t->sqlstate);
-  ss_pgwire_error (t->link.wire, "ERROR", t->sqlstate,
+  ss_pgwire_error (t->base.wire, "ERROR", t->sqlstate,
                    "the result is larger than 8 MiB", NULL, NULL);
 }
 
@@ -202,7 +202,7 @@
     result.commit = commit;
   t->commit = commit;
   t->busy = false;
-  ss_target_connection_result (&t->link, &result);
+  ss_target_connection_result (&t->base, &result);
   g_free (tag);
 }
 
@@ -258,7 +258,7 @@
       t->ready = true;
       PQsetnonblocking (t->pq, 1);
       set_io_events (t, EV_READ);
-      ss_target_connection_ready (&t->link);
+      ss_target_connection_ready (&t->base);
       break;
     default:
       report_closed (t);
@@ -286,15 +286,15 @@
 /* --- actions --- */
 
 static void
-on_failed (SsTargetConnection *link)
+on_failed (SsTargetConnection *connection)
 {
-  report_closed ((TargetConnection *) link);
+  report_closed ((TargetConnection *) connection);
 }
 
 static void
-start_link (SsTargetConnection *link, const SsAction *a)
+start_connection (SsTargetConnection *connection, const SsAction *a)
 {
-  TargetConnection *t = (TargetConnection *) link;
+  TargetConnection *t = (TargetConnection *) connection;
   char *conninfo = g_strdup_printf (
       "hostaddr=%s port=%u dbname=sapphirestair user=sapphirestair "
       "sslmode=disable gssencmode=disable application_name=sapphirestair",
@@ -305,17 +305,17 @@
   ev_io_init (&t->io, on_io, -1, EV_READ);
   t->io.data = t;
   if (PQstatus (t->pq) == CONNECTION_BAD)
-    ss_target_connection_schedule_failure (link);
+    ss_target_connection_schedule_failure (connection);
   else
     set_io_events (t, EV_WRITE);
 }
 
 static void
-query_link (SsTargetConnection *link, const SsAction *a)
+send_query (SsTargetConnection *connection, const SsAction *a)
 {
-  TargetConnection *t = (TargetConnection *) link;
+  TargetConnection *t = (TargetConnection *) connection;
 
-  link->wire = g_byte_array_new ();
+  connection->wire = g_byte_array_new ();
   g_clear_pointer (&t->tag, g_free);
   t->results = 0;
   t->has_error = false;
@@ -325,24 +325,24 @@
   if (PQsendQuery (t->pq, a->text))
     flush (t);
   else
-    ss_target_connection_schedule_failure (link);
+    ss_target_connection_schedule_failure (connection);
 }
 
 static const SsTargetConnectionsClass klass
-    = { sizeof (TargetConnection), start_link, query_link, on_failed,
-        finish_link };
+    = { sizeof (TargetConnection), start_connection, send_query, on_failed,
+        finish_connection };
 
 static void
 on_action (SsRuntime *runtime, SsAction *a)
 {
   (void) runtime;
-  ss_target_connections_action (&links, a);
+  ss_target_connections_action (&targets, a);
 }
 
 static char *
 init (SsRuntime *runtime)
 {
-  ss_target_connections_init (&links, &klass, runtime);
+  ss_target_connections_init (&targets, &klass, runtime);
   return NULL;
 }
 
@@ -350,7 +350,7 @@
 finish (SsRuntime *runtime)
 {
   (void) runtime;
-  ss_target_connections_finish (&links);
+  ss_target_connections_finish (&targets);
 }
 
 static const SsPlugin plugin = { .name = "pqtarget",
