--- a/src/core/coordinator.c
+++ b/src/core/coordinator.c
@@ -1,5 +1,6 @@
-/* coordinator: promotions that one VM, the coordinator, has the platform carry
- * out. */
+/* coordinator: promotions that the platform carries out, started by one VM, the
+ * coordinator.
+ */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -72,7 +73,9 @@
   return t->state.reachable && node->now_ms - t->reachable_ms < FRESH_REPORT_MS;
 }
 
-/* Returns the server that leads the highest term, or NULL. */
+/* Returns the server that leads the highest term according to a fresh report,
+ * or NULL.
+ */
 static const SsTarget *
 find_leader (SsNode *node, const SsGroup *group)
 {
@@ -269,7 +272,8 @@
          && g_strstr_len (object->value, object->value_bytes, p->operation);
 }
 
-/* A write whose answer was lost may have taken effect, so the object is read.
+/* After a write whose answer was lost, reads the object, as the write may have
+ * taken effect.
  */
 void
 ss_coordinator_handle_duty (SsNode *node, uint64_t call,
@@ -320,6 +324,9 @@
   return p->chosen ? ss_config_target (&node->config, p->chosen) : NULL;
 }
 
+/* Names the chosen server in the group's object once it leads the term;
+ * otherwise requests its status.
+ */
 static void
 check_promoted (SsNode *node, SsPromotion *p)
 {
--- a/src/core/directory.c
+++ b/src/core/directory.c
@@ -13,7 +13,7 @@
  */
 #define DEAD_MS 30000
 #define PREFIX "vm/"
-#define SUBJECT "directory"
+#define COORDINATOR_SUBJECT "directory"
 
 typedef struct
 {
@@ -75,8 +75,8 @@
   return bytes == strlen (value) && memcmp (stored, value, bytes) == 0;
 }
 
-/* Updates the leases that this VM's object lists; those listed before keep
- * their time.
+/* Updates node->leases from this VM's object.  Groups that it named before keep
+ * their start time.
  */
 static void
 update_leases (SsNode *node, const SsObject *object)
@@ -238,8 +238,8 @@
   json_decref (json);
 }
 
-/* Adopts the object that the platform returned.  After a conflict, writes this
- * VM's object again on top of it.
+/* Adopts the object that the platform returned.  After a conflict, schedules
+ * another write of this VM's object on top of it.
  */
 void
 ss_directory_handle_object (SsNode *node, SsPlatformOutcome outcome,
@@ -270,7 +270,7 @@
     return;
   node->directory_due_ms = node->now_ms + WRITE_INTERVAL_MS;
   write_own (node);
-  coordinator = ss_members_coordinator (&node->members, SUBJECT);
+  coordinator = ss_members_coordinator (&node->members, COORDINATOR_SUBJECT);
   if (coordinator && strcmp (coordinator, node->params.vm) == 0)
     delete_dead_vms (node);
 }
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -492,8 +492,7 @@
 void ss_quorum_handle_status (SsNode *node, SsTarget *target, uint64_t ask,
                               const SsServerState *state);
 
-/* --- target_monitor.c: the control connection of a target that this VM owns
- * --- */
+/* --- target_monitor.c: state and role of a target that this VM owns --- */
 
 void ss_target_monitor_tick (SsNode *node, SsOwnedTarget *owned);
 void ss_target_monitor_ready (SsNode *node, SsOwnedTarget *owned);
@@ -520,8 +519,9 @@
 
 void ss_relay_init (SsNode *node);
 void ss_relay_finish (SsNode *node);
-/* ss_relay_send_heartbeat: sends the heartbeat BEAT to the relays, and reports
- * to other relays if this VM is one.
+/* ss_relay_send_heartbeat: sends HEARTBEAT to this VM's relays, each with the
+ * hash of the last full list from that relay.  If this VM is a relay, also
+ * sends reports to the relays of other failure domains.
  */
 void ss_relay_send_heartbeat (SsNode *node, SsEnvelope *beat);
 /* ss_relay_send_digest: answers a heartbeat of VM with a digest, which is full
--- a/src/core/isolation.c
+++ b/src/core/isolation.c
@@ -1,5 +1,5 @@
-/* isolation: detects that this VM is isolated: it receives heartbeats from
- * less than half of the other VMs, and the platform does not answer.
+/* isolation: detects that this VM is isolated: less than half of the other VMs
+ * that the platform lists are live here, and the platform does not answer.
  *
  * An isolated VM can serve nobody, but callers stay on their connections and
  * the platform routes new ones to it.  It therefore reports that it is not
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -4,11 +4,12 @@
  * confirms that the object is unchanged since this VM adopted it, the VM holds
  * a lease: it may rely on that primary being the only one for SS_LEASE_MS from
  * the time it sent the request.  A VM's own object names the groups that it
- * holds leases on.  A promotion starts with a write to the group's object, the
- * claim, and proceeds only when every holder has adopted the claim, which its
- * reply or its object shows, or when all leases have expired
- * (ss_lease_is_released).  Where the platform answers neither a VM nor any that
- * it hears, the VM asks a majority of the servers instead (quorum.c).
+ * may hold leases on.  A promotion starts with a write to the group's object,
+ * the claim.  It proceeds once every holder has adopted the claim, as its reply
+ * or its own object shows, or once all leases have expired
+ * (ss_lease_is_released).  A VM that the platform does not answer renews its
+ * leases through another VM.  If the platform answers none of the VMs that it
+ * hears, it asks a majority of the servers instead (quorum.c).
  */
 #include <string.h>
 
@@ -94,6 +95,9 @@
 
 /* --- renewing leases --- */
 
+/* Sets the SsNode pointer at DATA to NULL if that node owns the primary of the
+ * group.
+ */
 static gboolean
 find_owned_primary (gpointer key, gpointer value, gpointer data)
 {
@@ -120,7 +124,7 @@
 typedef struct
 {
   const SsNode *node;
-  GPtrArray *up; /* of names; NULL: only sets found */
+  GPtrArray *up; /* names of the VMs found; NULL: stop at the first */
   bool found;
 } PeerSearch;
 
@@ -189,12 +193,12 @@
 ss_lease_handle_ask (SsNode *node, const char *from,
                      const Ss__Peer__LeaseAsk *ask)
 {
-  SsLeaseRequest *asker = g_new0 (SsLeaseRequest, 1);
+  SsLeaseRequest *request = g_new0 (SsLeaseRequest, 1);
 
-  asker->vm = g_strdup (from);
-  asker->nonce = ask->nonce;
-  asker->asked_ms = node->now_ms;
-  g_queue_push_tail (&node->lease_requests, asker);
+  request->vm = g_strdup (from);
+  request->nonce = ask->nonce;
+  request->asked_ms = node->now_ms;
+  g_queue_push_tail (&node->lease_requests, request);
   if (!node->lease_requested_ms)
     request_group_list (node);
 }
@@ -202,14 +206,14 @@
 void
 ss_lease_request_free (gpointer data)
 {
-  SsLeaseRequest *asker = data;
+  SsLeaseRequest *request = data;
 
-  g_free (asker->vm);
-  g_free (asker);
+  g_free (request->vm);
+  g_free (request);
 }
 
 static void
-send_reply (SsNode *node, const SsLeaseRequest *asker, const SsEvent *list)
+send_reply (SsNode *node, const SsLeaseRequest *request, const SsEvent *list)
 {
   uint32_t count = list->platform_objects.object_count;
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
@@ -227,32 +231,32 @@
       versions[i].version = o->version;
       entries[i] = &versions[i];
     }
-  reply.nonce = asker->nonce;
+  reply.nonce = request->nonce;
   reply.groups = entries;
   reply.n_groups = count;
   e.body_case = SS__PEER__ENVELOPE__BODY_LEASE_REPLY;
   e.lease_reply = &reply;
-  ss_node_send (node, asker->vm, &e);
+  ss_node_send (node, request->vm, &e);
   g_free (entries);
   g_free (versions);
 }
 
-/* Answers the VMs that asked before the list was requested.  Later ones need a
- * new list.
+/* Answers the lease requests that arrived before LIST was requested.  Later
+ * ones need a new list.
  */
 static void
-answer_askers (SsNode *node, const SsEvent *list, int64_t asked_ms)
+answer_requests (SsNode *node, const SsEvent *list, int64_t requested_ms)
 {
-  SsLeaseRequest *asker;
+  SsLeaseRequest *request;
 
-  while ((asker = g_queue_peek_head (&node->lease_requests))
-         && asker->asked_ms <= asked_ms)
+  while ((request = g_queue_peek_head (&node->lease_requests))
+         && request->asked_ms <= requested_ms)
     {
       if (list->platform_objects.outcome == SS_PLATFORM_DONE)
-        send_reply (node, asker, list);
+        send_reply (node, request, list);
       ss_lease_request_free (g_queue_pop_head (&node->lease_requests));
     }
-  if (asker)
+  if (request)
     request_group_list (node);
 }
 
@@ -276,14 +280,15 @@
  */
 static void
 confirm_lease (SsNode *node, const char *name, int64_t version,
-               int64_t asked_ms)
+               int64_t requested_ms)
 {
   SsGroup *group = ss_config_group (&node->config, name);
   const int64_t *since_ms = g_hash_table_lookup (node->leases, name);
 
-  if (!group || !since_ms || *since_ms > asked_ms || group->version != version)
+  if (!group || !since_ms || *since_ms > requested_ms
+      || group->version != version)
     return;
-  group->confirmed_ms = MAX (group->confirmed_ms, asked_ms);
+  group->confirmed_ms = MAX (group->confirmed_ms, requested_ms);
   if (ss_lease_holds (node, group))
     ss_quorum_lease_obtained (node, group);
 }
@@ -305,7 +310,7 @@
 void
 ss_lease_handle_list (SsNode *node, const SsEvent *e)
 {
-  int64_t asked_ms = node->lease_requested_ms;
+  int64_t requested_ms = node->lease_requested_ms;
 
   if (e->platform_objects.feed == SS_WATCH_VMS)
     handle_vm_list (node, e->platform_objects.outcome);
@@ -314,15 +319,15 @@
   node->lease_requested_ms = 0;
   if (e->platform_objects.outcome == SS_PLATFORM_DONE)
     {
-      node->lease_due_ms = asked_ms + RENEW_MS;
+      node->lease_due_ms = requested_ms + RENEW_MS;
       for (uint32_t i = 0; i < e->platform_objects.object_count; i++)
         confirm_lease (node,
                        strchr (e->platform_objects.objects[i].key, '/') + 1,
-                       e->platform_objects.objects[i].version, asked_ms);
+                       e->platform_objects.objects[i].version, requested_ms);
     }
   else
     node->lease_due_ms = node->now_ms + RENEW_RETRY_MS;
-  answer_askers (node, e, asked_ms);
+  answer_requests (node, e, requested_ms);
 }
 
 /* --- releasing leases before a promotion --- */
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -111,8 +111,8 @@
   const SsMembers *members;
   const SsMember *subject;
   int64_t now_ms;
-  uint32_t witnesses;
-  uint32_t missing;
+  uint32_t witnesses; /* VMs whose heartbeats arrive here */
+  uint32_t missing;   /* of them, those that do not receive the subject's */
 } Vote;
 
 static bool
@@ -196,7 +196,7 @@
   SsMembers *members;
   int64_t now_ms;
   GPtrArray *changed;
-  GPtrArray *forgotten;
+  GPtrArray *removed;
 } Update;
 
 static gboolean
@@ -211,7 +211,7 @@
     g_ptr_array_add (u->changed, m);
   else if (!live && !m->listed
            && u->now_ms - m->heard_ms > SS_MEMBER_RETENTION_MS)
-    g_ptr_array_add (u->forgotten, m);
+    g_ptr_array_add (u->removed, m);
   return FALSE;
 }
 
@@ -233,14 +233,14 @@
       members->converged_known = false;
       changed (data, m);
     }
-  for (guint i = 0; i < u.forgotten->len; i++)
+  for (guint i = 0; i < u.removed->len; i++)
     {
-      SsMember *m = g_ptr_array_index (u.forgotten, i);
+      SsMember *m = g_ptr_array_index (u.removed, i);
 
       g_tree_remove (members->by_name, m->vm);
     }
   g_ptr_array_free (u.changed, TRUE);
-  g_ptr_array_free (u.forgotten, TRUE);
+  g_ptr_array_free (u.removed, TRUE);
 }
 
 typedef struct
@@ -251,7 +251,7 @@
   const SsMember *best;
   uint64_t best_score;
   uint64_t own_score;
-  uint32_t better;
+  uint32_t better; /* VMs that rank before this one */
 } Ranking;
 
 static bool
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -29,13 +29,13 @@
 #define SS_MEMBERS_MESH_MAX 12
 /* Relays in each failure domain.  With two, one may fail without effect. */
 #define SS_MEMBERS_RELAYS 2
-/* Grace period after all relays are lost, in which a VM may know of no other:
- * a heartbeat to the new relays, a report from these to the relays of other
- * failure domains, and the answers.
+/* Grace period after all relays are lost, in which a VM may know of no other.
+ * It covers a heartbeat to the new relays, a report from these to the relays of
+ * other failure domains, and the answers.
  */
 #define SS_MEMBER_RELAY_GRACE_MS 1200
-/* A VM that is listed but not live and does not answer as a relay within the
- * timeout is not tried again during the backoff.
+/* A listed VM that is not live may be tried as a relay.  If it does not answer
+ * within the timeout, it is not tried again during the backoff.
  */
 #define SS_MEMBER_RELAY_TIMEOUT_MS 1000
 #define SS_MEMBER_RELAY_BACKOFF_MS 3000
@@ -108,7 +108,8 @@
                         void *data);
 
 /* ss_members_owner: returns the live VM of FAILURE_DOMAIN (NULL: any) that
- * ranks first for SUBJECT by rendezvous hashing, or NULL.
+ * ranks first for SUBJECT by rendezvous hashing, or NULL.  A VM in its
+ * graceful shutdown takes no role and counts in no rank.
  */
 const char *ss_members_owner (const SsMembers *members,
                               const char *failure_domain, const char *subject);
@@ -140,7 +141,7 @@
  * rank before it.
  */
 bool ss_members_is_watcher (const SsMembers *members);
-/* ss_members_collect_silent: adds to OUT the VMs (borrowed) that have been
+/* ss_members_collect_silent: adds to OUT the dead VMs (borrowed) that have been
  * known since before SINCE_MS and have been neither heard nor reported after
  * it; never this VM.
  */
--- a/src/core/peers.c
+++ b/src/core/peers.c
@@ -3,11 +3,13 @@
 #include "core/peers.h"
 #include "kernel/compare.h"
 
+/* A heartbeat lists the VMs that were heard within this time. */
 #define HEARD_WITHIN_MS 600
 #define SUBSCRIBE_INTERVAL_MS 1000
+/* Uptime from which this VM may be ready. */
 #define READY_AFTER_MS 500
-/* Once all platform objects are listed, only the peers' first heartbeats are
- * missing.
+/* As READY_AFTER_MS, once all platform objects are listed: only the peers'
+ * first heartbeats are missing then.
  */
 #define READY_AFTER_LISTING_MS 150
 /* A VM whose rank as a group's coordinator is below this subscribes to the
@@ -177,23 +179,24 @@
 }
 
 void
-ss_peers_handle_heartbeat (SsNode *node, const Ss__Peer__Heartbeat *beat)
+ss_peers_handle_heartbeat (SsNode *node, const Ss__Peer__Heartbeat *heartbeat)
 {
   SsMember *m;
 
-  if (!*beat->vm || ss_peers_is_self (node, beat->vm)
-      || beat->peer_port > 65535)
+  if (!*heartbeat->vm || ss_peers_is_self (node, heartbeat->vm)
+      || heartbeat->peer_port > 65535)
     return;
-  m = ss_peers_add_member (node, beat->vm, beat->failure_domain, beat->ip,
-                           (uint16_t) beat->peer_port);
-  ss_members_record_heartbeat (&node->members, m, beat->leaving, beat->heard,
-                               beat->n_heard, node->now_ms);
-  m->platform_up = beat->platform_up;
+  m = ss_peers_add_member (node, heartbeat->vm, heartbeat->failure_domain,
+                           heartbeat->ip, (uint16_t) heartbeat->peer_port);
+  ss_members_record_heartbeat (&node->members, m, heartbeat->leaving,
+                               heartbeat->heard, heartbeat->n_heard,
+                               node->now_ms);
+  m->platform_up = heartbeat->platform_up;
   if (node->members.relayed
       && strcmp (m->failure_domain, node->params.failure_domain) == 0)
-    ss_relay_send_digest (node, beat->vm, beat->digest);
-  if (beat->revision > node->config.revision && pulls_from_peers (node))
-    ss_config_sync_pull_newer (node, beat->vm);
+    ss_relay_send_digest (node, heartbeat->vm, heartbeat->digest);
+  if (heartbeat->revision > node->config.revision && pulls_from_peers (node))
+    ss_config_sync_pull_newer (node, heartbeat->vm);
 }
 
 /* --- subscriptions --- */
--- a/src/core/predict.h
+++ b/src/core/predict.h
@@ -1,4 +1,5 @@
-/* predict: estimates when a failover ends.
+/* predict: estimates when a failover ends, to decide whether a request waits
+ * for it or is refused at once.
  *
  * Writes arrive at their usual rate during a failover.  A refusal costs the
  * caller one attempt.  A wait that ends before the deadline costs only the
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -23,10 +23,13 @@
 #define COORDINATOR_RANKS 3
 /* A claim that has named no primary for this long counts as abandoned. */
 #define CLAIM_TIMEOUT_MS 1500
-#define FRESH_VIEW_MS 1500
+/* A report older than this is stale. */
+#define FRESH_REPORT_MS 1500
 #define STEP_TIMEOUT_MS 4000
 #define READ_RETRY_MS 200
+/* Delay of the next promotion after one has ended. */
 #define RETRY_MS 300
+/* Minimum interval between promotions for a draining primary. */
 #define DRAIN_RETRY_MS 2000
 
 SsPromotion *
@@ -187,6 +190,9 @@
 
 /* --- failure detection --- */
 
+/* Counts the replicas that are reachable and have heard nothing from the
+ * primary for SILENCE_MS.
+ */
 static uint32_t
 count_silent (SsNode *node, const SsGroup *group, uint32_t silence_ms)
 {
@@ -197,15 +203,15 @@
       const SsTarget *t = group->servers[i];
 
       if (strcmp (t->name, group->primary) != 0 && t->state.reachable
-          && node->now_ms - t->reachable_ms < FRESH_VIEW_MS
+          && node->now_ms - t->reachable_ms < FRESH_REPORT_MS
           && t->state.silence_ms >= silence_ms)
         silent++;
     }
   return silent;
 }
 
-/* Returns how many servers must have lost the primary: at least half of the
- * others.
+/* Returns how many replicas must have stopped hearing from the primary: at
+ * least half of them, and at least one.
  */
 static uint32_t
 witnesses_needed (const SsGroup *group)
@@ -216,7 +222,7 @@
 }
 
 static bool
-is_suspect (SsNode *node, const SsPromotion *p, const SsGroup *group)
+is_primary_suspect (SsNode *node, const SsPromotion *p, const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
   int64_t down_ms = node->now_ms - p->primary_seen_ms;
@@ -259,7 +265,7 @@
   return primary && primary->draining && group->server_count > 1;
 }
 
-/* Does the work of tick_idle where the platform carries out promotions. */
+/* As tick_idle, where the platform carries out promotions. */
 static void
 tick_idle_platform (SsNode *node, SsPromotion *p, SsGroup *group)
 {
@@ -297,7 +303,7 @@
       p->requested = true;
       p->retry_ms = node->now_ms + DRAIN_RETRY_MS;
     }
-  else if (!p->requested && !is_suspect (node, p, group))
+  else if (!p->requested && !is_primary_suspect (node, p, group))
     return;
   if (!p->requested)
     ss_node_log (node, SS_EVENT_LOG_SUSPECT, p->group,
@@ -323,7 +329,7 @@
   ss_promote_enter (node, p, SS_PROMOTE_IDLE);
 }
 
-/* The group's object has this promotion's operation: continues from there. */
+/* Continues a promotion whose operation the group's object has. */
 static void
 continue_promotion (SsNode *node, SsPromotion *p, const SsGroup *group)
 {
@@ -345,8 +351,9 @@
   ss_term_raise_tick (node, p, group);
 }
 
-/* The object has another operation.  If its version has increased, this claim
- * can no longer take effect.
+/* Ends a promotion as the group's object has another operation.  If the
+ * object's version has increased, this claim can no longer take effect: the
+ * operator's answer is then "not run".
  */
 static void
 abort_superseded (SsNode *node, SsPromotion *p, const SsGroup *group)
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -1,4 +1,5 @@
-/* promotion: promotions, and leases on the primary.
+/* promotion: promotions of a group's server to primary, and leases on the
+ * primary.
  *
  * A promotion claims a higher term in the group's object, raises the term of
  * enough servers, chooses the most advanced one and names it in the object.
@@ -23,7 +24,7 @@
 /* Steps of a promotion:
  *
  *   IDLE        none is running
- *   ADOPT       names a primary that servers already follow
+ *   ADOPT       names a server that already leads a later term
  *   CLAIM       writes the claim to the group's object
  *   CLAIM_READ  reads whether a claim with a lost answer took effect
  *   RAISE       raises the servers' terms and has leases released
@@ -57,25 +58,24 @@
   char *group;
   SsPromoteStep step;
   int64_t primary_seen_ms; /* when the primary was last known to serve */
-  uint64_t seen_term;
-  int64_t since_ms; /* of the step */
-  int64_t started_ms;
-  int64_t retry_ms; /* no new attempt before this */
-  int64_t asked_ms;
-  uint64_t call;
-  uint64_t term;
-  int64_t version;
-  char operation[96];
+  uint64_t seen_term;      /* term of the group when it was last looked at */
+  int64_t since_ms;        /* when the step started */
+  int64_t started_ms;      /* when the promotion started */
+  int64_t retry_ms;        /* no new attempt before this */
+  int64_t asked_ms;        /* when the step last sent a repeated request */
+  uint64_t call;           /* id of the last platform call */
+  uint64_t term;           /* that the new primary is to lead */
+  int64_t version;    /* of the group's object that the next write expects */
+  char operation[96]; /* unique id, stored in the group's object */
   char *requested_server; /* server that an operator requests, or NULL */
   char *leaving;          /* primary to be replaced, never chosen; or NULL */
-  char *chosen;
-  bool requested;
-  uint64_t operator_call; /* operator's call to be answered; 0: none */
-  GHashTable
-      *raised_positions; /* name -> SsPosition of its log; not by pointer, as
-                  servers may be added and removed meanwhile */
-  int64_t quorum_ms;     /* when enough servers were raised; 0: not yet */
-  uint32_t rank;         /* of this VM as the group's coordinator */
+  char *chosen;           /* the new primary; NULL: not chosen yet */
+  bool requested;         /* by an operator or a drain, not by a failure */
+  uint64_t operator_call; /* operator command to be answered; 0: none */
+  GHashTable *raised_positions; /* server name -> SsPosition of its log; not by
+                  pointer, as servers may be added and removed meanwhile */
+  int64_t quorum_ms; /* when enough servers were raised; 0: not yet */
+  uint32_t rank;     /* of this VM as the group's coordinator */
   uint64_t rank_generation;
   int64_t fencing_token;       /* of the platform's promotion call */
   SsPosition replica_position; /* the highest position of a replica */
@@ -106,6 +106,9 @@
 void ss_promote_tick (SsNode *node);
 void ss_term_raise_handle_reply (SsNode *node,
                                  const Ss__Peer__RaiseReply *reply);
+/* ss_promote_handle_object: handles the result of platform call CALL, a read or
+ * write of a group's object or of the duty object.
+ */
 void ss_promote_handle_object (SsNode *node, uint64_t call,
                                SsPlatformOutcome outcome,
                                const SsObject *object);
@@ -115,7 +118,9 @@
 void ss_coordinator_handle_call (SsNode *node, uint64_t call,
                                  SsPlatformOutcome outcome);
 /* ss_promote_request: starts a promotion of GROUP that an operator requests, to
- * the server TO (NULL: any).  The result goes to operation CALL.
+ * the server TO (NULL: any).  Its result answers the operator command CALL.
+ * Among the most advanced servers TO is preferred; another one is chosen if TO
+ * is behind.
  */
 void ss_promote_request (SsNode *node, const char *group, const char *to,
                          uint64_t call);
@@ -146,6 +151,9 @@
 
 /* ss_lease_holds: whether this VM holds a valid lease on GROUP's primary. */
 bool ss_lease_holds (const SsNode *node, const SsGroup *group);
+/* ss_lease_tick: renews this VM's leases when that is due, if it owns the
+ * primary of a group.
+ */
 void ss_lease_tick (SsNode *node);
 /* ss_lease_may_ask_servers: whether a majority of the servers may confirm the
  * primary in place of a lease.  With promotions by the platform, this requires
@@ -155,7 +163,7 @@
 bool ss_lease_may_ask_servers (const SsNode *node);
 void ss_lease_handle_ask (SsNode *node, const char *from,
                           const Ss__Peer__LeaseAsk *ask);
-void ss_lease_request_free (gpointer asker);
+void ss_lease_request_free (gpointer data);
 void ss_lease_handle_reply (SsNode *node, const Ss__Peer__LeaseReply *reply);
 /* ss_lease_handle_list: handles the result of a list request, whose objects are
  * already adopted.
@@ -184,7 +192,7 @@
 /* --- coordinator.c: promotions carried out by the platform --- */
 
 /* ss_coordinator_is_self: whether this VM starts promotions.  False in the
- * grace period after the loss of its relays (ss_members_is_unsure).
+ * grace period after the loss of its relays (ss_members_in_relay_grace).
  */
 bool ss_coordinator_is_self (SsNode *node);
 /* ss_coordinator_next_term: returns the term that a new primary of GROUP will
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -64,6 +64,9 @@
   return strcmp (m->failure_domain, node->params.failure_domain) == 0;
 }
 
+/* Whether a digest or report lists M: this VM itself, a VM of its failure
+ * domain that it hears directly, or one of another that its relays report.
+ */
 static bool
 is_known_live (const SsNode *node, const SsMember *m)
 {
@@ -192,6 +195,7 @@
   GPtrArray *relays;
 } RelayList;
 
+/* Adds the VM if it reports for another failure domain. */
 static gboolean
 add_reporter (gpointer key, gpointer value, gpointer data)
 {
@@ -275,7 +279,7 @@
  * has to be a full one.
  */
 static bool
-record_report (SsNode *node, const char *relay, uint64_t hash)
+record_sent_report (SsNode *node, const char *relay, uint64_t hash)
 {
   FullReport *last = g_hash_table_lookup (node->reports, relay);
 
@@ -333,7 +337,7 @@
       const char *relay = g_ptr_array_index (relays, i);
 
       update_relay_timeout (node, ss_members_find (&node->members, relay));
-      report.full = record_report (node, relay, report.hash);
+      report.full = record_sent_report (node, relay, report.hash);
       report.vms = p.list;
       report.n_vms = report.full ? vms->len : 0;
       ss_node_send (node, relay, &e);
@@ -375,7 +379,7 @@
 }
 
 void
-ss_relay_send_heartbeat (SsNode *node, SsEnvelope *beat)
+ss_relay_send_heartbeat (SsNode *node, SsEnvelope *heartbeat)
 {
   GPtrArray *relays = own_relays (node);
   bool is_relay = false;
@@ -390,8 +394,8 @@
           continue;
         }
       update_relay_timeout (node, ss_members_find (&node->members, vm));
-      beat->heartbeat->digest = ss_relay_views_hash (node, vm);
-      ss_node_send (node, vm, beat);
+      heartbeat->heartbeat->digest = ss_relay_views_hash (node, vm);
+      ss_node_send (node, vm, heartbeat);
     }
   if (is_relay)
     {
--- a/src/core/relay_views.c
+++ b/src/core/relay_views.c
@@ -7,11 +7,11 @@
 
 #include "core/internal.h"
 
-/* The last full list of live VMs from a peer. */
+/* The last full list of live VMs from a relay. */
 typedef struct
 {
   uint64_t hash;
-  int64_t confirmed_ms; /* when the peer last confirmed it */
+  int64_t confirmed_ms; /* when the relay last confirmed it */
   GHashTable *vms;      /* names of the VMs */
 } View;
 
--- a/src/core/target_monitor.c
+++ b/src/core/target_monitor.c
@@ -5,11 +5,15 @@
 
 #include "core/owner.h"
 
+/* Interval between attempts to connect, and between statements that change the
+ * server's role.
+ */
 #define CONTROL_RETRY_MS 100
+/* Timeout of a statement on the control connection. */
 #define CONTROL_TIMEOUT_MS 3000
 #define CONNECT_TIMEOUT_MS 1000
 /* How long a status request waits for the position that it names, where the
- * dialect does not keep sessions.
+ * dialect does not multiplex sessions.
  */
 #define POSITION_TIMEOUT_MS 80
 /* A subscription expires after this unless it is renewed. */
@@ -57,25 +61,28 @@
                                          ss_pool_capacity (node, owned));
 }
 
+/* Sends the target's state to VM, as the answer to its status request
+ * REQUEST_ID (0: unsolicited, to a subscriber).
+ */
 static void
 send_report (SsNode *node, const SsOwnedTarget *owned, const char *vm,
-             uint64_t ask)
+             uint64_t request_id)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__StatusReport m = SS__PEER__STATUS_REPORT__INIT;
-  Ss__Peer__Position mark;
+  Ss__Peer__Position confirmed;
   SsPosition position;
   PackedState packed;
 
   pack_state (node, owned, &packed);
   m.target = owned->target->name;
-  m.ask = ask;
+  m.ask = request_id;
   m.state = &packed.state;
   if (ss_quorum_position (node, (SsOwnedTarget *) owned, &position,
                           &m.mark_age_ms))
     {
-      ss_position_pack (&mark, position);
-      m.mark = &mark;
+      ss_position_pack (&confirmed, position);
+      m.mark = &confirmed;
     }
   e.body_case = SS__PEER__ENVELOPE__BODY_STATUS_REPORT;
   e.status_report = &m;
@@ -92,6 +99,9 @@
          || ss_position_compare (a->applied, b->applied) != 0;
 }
 
+/* Sends the target's state to its subscribers if it has changed and
+ * report_min_ms have passed since the last report, or if report_idle_ms have.
+ */
 static void
 send_reports (SsNode *node, SsOwnedTarget *owned)
 {
@@ -116,7 +126,7 @@
     }
 }
 
-/* As POSITION_TIMEOUT_MS, where the dialect keeps sessions. */
+/* As POSITION_TIMEOUT_MS, where the dialect multiplexes sessions. */
 #define SESSION_POSITION_TIMEOUT_MS 400
 
 void
@@ -126,17 +136,18 @@
 
   for (guint i = owned->status_requests->len; i > 0; i--)
     {
-      SsStatusRequest *ask = g_ptr_array_index (owned->status_requests, i - 1);
-      bool held = s->held.term > ask->held.term
-                  || (s->held.term == ask->held.term
-                      && s->held.offset >= ask->held.offset)
-                  || s->shown_term > ask->held.term;
-
-      if (owned->poll < ask->poll)
+      SsStatusRequest *r = g_ptr_array_index (owned->status_requests, i - 1);
+      /* The log has the position, or a later term has superseded it. */
+      bool settled = s->held.term > r->held.term
+                     || (s->held.term == r->held.term
+                         && s->held.offset >= r->held.offset)
+                     || s->shown_term > r->held.term;
+
+      if (owned->poll < r->poll)
         continue;
-      if (ask->held.offset && !held && node->now_ms < ask->expires_ms)
+      if (r->held.offset && !settled && node->now_ms < r->expires_ms)
         continue;
-      send_report (node, owned, ask->vm, ask->ask);
+      send_report (node, owned, r->vm, r->ask);
       g_ptr_array_remove_index (owned->status_requests, i - 1);
     }
   /* No poll is needed once no request is left. */
@@ -150,8 +161,8 @@
 /* --- the control connection --- */
 
 static void
-start_control (SsNode *node, SsOwnedTarget *owned, SsControlStep step,
-               char *sql)
+start_statement (SsNode *node, SsOwnedTarget *owned, SsControlStep step,
+                 char *sql)
 {
   SsAction *a = ss_node_push (node, SS_ACTION_TARGET_QUERY);
 
@@ -168,12 +179,12 @@
 {
   owned->poll++;
   owned->polled_ms = node->now_ms;
-  start_control (node, owned, SS_CONTROL_POLL,
-                 node->dialect->status (node->dialect));
+  start_statement (node, owned, SS_CONTROL_POLL,
+                   node->dialect->status (node->dialect));
 }
 
-/* Returns the SQL that gives the server the role that its group's configuration
- * says, to be freed, or NULL if it already has that role.
+/* Returns the SQL, to be freed, that gives the server the role that its group's
+ * configuration specifies, or NULL if nothing has to be done.
  */
 static char *
 reconcile (SsNode *node, SsOwnedTarget *owned, SsControlStep *step)
@@ -235,16 +246,16 @@
   /* Raise requests are answered from a poll that starts after the raise. */
   if (owned->raise_term && owned->target->state.shown_term < owned->raise_term)
     {
-      start_control (node, owned, SS_CONTROL_RAISE,
-                     node->dialect->raise (node->dialect, owned->target,
-                                           owned->raise_term));
+      start_statement (node, owned, SS_CONTROL_RAISE,
+                       node->dialect->raise (node->dialect, owned->target,
+                                             owned->raise_term));
       return;
     }
   sql = owned->raise_term ? NULL : reconcile (node, owned, &step);
   if (sql && node->now_ms >= owned->control_after_ms)
     {
       owned->control_after_ms = node->now_ms + CONTROL_RETRY_MS;
-      start_control (node, owned, step, sql);
+      start_statement (node, owned, step, sql);
       return;
     }
   g_free (sql);
@@ -308,10 +319,9 @@
 
   for (guint i = 0; i < owned->status_requests->len; i++)
     {
-      const SsStatusRequest *ask
-          = g_ptr_array_index (owned->status_requests, i);
+      const SsStatusRequest *r = g_ptr_array_index (owned->status_requests, i);
 
-      wait_ms = MIN (wait_ms, ask->poll_ms - node->now_ms);
+      wait_ms = MIN (wait_ms, r->poll_ms - node->now_ms);
     }
   return MAX (wait_ms, node->params.timing.poll_asked_ms);
 }
@@ -379,6 +389,7 @@
 ss_target_monitor_closed (SsNode *node, SsOwnedTarget *owned, bool refused)
 {
   owned->control_step = SS_CONTROL_NONE;
+  /* A connection that broke is replaced sooner than a refused one. */
   owned->control_after_ms
       = node->now_ms + (refused ? CONTROL_RETRY_MS : CONTROL_RETRY_MS / 10);
   if (refused)
@@ -389,7 +400,7 @@
 check_connection (SsNode *node, SsOwnedTarget *owned)
 {
   SsConnection *c = owned->control;
-  int64_t bound_ms;
+  int64_t timeout_ms;
   int64_t since_ms;
 
   if (!c)
@@ -400,11 +411,11 @@
     }
   if (c->state == SS_CONNECTION_IDLE)
     return;
-  bound_ms = c->state == SS_CONNECTION_CONNECTING ? CONNECT_TIMEOUT_MS
-                                                  : CONTROL_TIMEOUT_MS;
+  timeout_ms = c->state == SS_CONNECTION_CONNECTING ? CONNECT_TIMEOUT_MS
+                                                    : CONTROL_TIMEOUT_MS;
   since_ms = c->state == SS_CONNECTION_CONNECTING ? c->since_ms
                                                   : owned->control_started_ms;
-  if (node->now_ms - since_ms < bound_ms)
+  if (node->now_ms - since_ms < timeout_ms)
     return;
   owned->control = NULL;
   owned->control_step = SS_CONTROL_NONE;
@@ -444,27 +455,29 @@
                                      const Ss__Peer__StatusAsk *m)
 {
   SsOwnedTarget *owned = ss_owner_find (node, m->target);
-  SsStatusRequest *ask;
+  SsStatusRequest *r;
 
   if (!owned || !owned->active)
     return;
-  ask = g_new0 (SsStatusRequest, 1);
-  ask->vm = g_strdup (from);
-  ask->ask = m->ask;
-  ask->held = ss_position_unpack (m->held);
-  ask->poll = owned->poll + 1;
-  ask->poll_ms = node->now_ms;
-  ask->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
-  g_ptr_array_add (owned->status_requests, ask);
-  if (!ask->held.offset || !ss_dialect_multiplexes_sessions (node->dialect))
+  r = g_new0 (SsStatusRequest, 1);
+  r->vm = g_strdup (from);
+  r->ask = m->ask;
+  r->held = ss_position_unpack (m->held);
+  r->poll = owned->poll + 1;
+  r->poll_ms = node->now_ms;
+  r->expires_ms = node->now_ms + POSITION_TIMEOUT_MS;
+  g_ptr_array_add (owned->status_requests, r);
+  if (!r->held.offset || !ss_dialect_multiplexes_sessions (node->dialect))
     {
       ss_target_monitor_poll_soon (node, owned);
       return;
     }
-  ask->poll = 0;
-  ask->poll_ms = node->now_ms + m->poll_after_ms;
-  ask->expires_ms = node->now_ms + SESSION_POSITION_TIMEOUT_MS;
-  owned->poll_due_ms = MIN (owned->poll_due_ms, ask->poll_ms);
+  /* The results of other statements may show the position before a poll is due.
+   */
+  r->poll = 0;
+  r->poll_ms = node->now_ms + m->poll_after_ms;
+  r->expires_ms = node->now_ms + SESSION_POSITION_TIMEOUT_MS;
+  owned->poll_due_ms = MIN (owned->poll_due_ms, r->poll_ms);
   ss_target_monitor_answer_requests (node, owned);
 }
 
--- a/src/core/term_raise.c
+++ b/src/core/term_raise.c
@@ -9,7 +9,9 @@
 #define RAISE_RETRY_MS 150
 /* Wait for further servers once enough have raised their term. */
 #define RAISE_GRACE_MS 30
-/* In a planned switchover, the last writes reach the replicas in this time. */
+/* In a requested promotion, the old primary's last writes reach its replicas
+ * in this time.
+ */
 #define HANDOVER_MS 150
 
 static void
@@ -28,6 +30,7 @@
   ss_node_send (node, owner, &e);
 }
 
+/* Whether T may become primary: it is neither draining nor to be replaced. */
 static bool
 is_candidate (const SsPromotion *p, const SsTarget *t)
 {
