--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -20,16 +20,20 @@
 /* Delay for each coordinator rank, so that the first one normally acts alone.
  */
 #define RANK_DELAY_MS 500
+/* VMs with a rank below this start promotions of the group. */
 #define COORDINATOR_RANKS 3
 /* A claim that has named no primary for this long counts as abandoned. */
 #define CLAIM_TIMEOUT_MS 1500
 /* A report older than this is stale. */
 #define FRESH_REPORT_MS 1500
 #define STEP_TIMEOUT_MS 4000
+/* Interval of reads after a write whose answer was lost. */
 #define READ_RETRY_MS 200
 /* Delay of the next promotion after one has ended. */
 #define RETRY_MS 300
-/* Minimum interval between promotions for a draining primary. */
+/* Delay that is set when a promotion for a draining primary starts; the end of
+ * that promotion sets RETRY_MS instead.
+ */
 #define DRAIN_RETRY_MS 2000
 
 SsPromotion *
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -199,8 +199,9 @@
  * lead. */
 uint64_t ss_coordinator_next_term (const SsGroup *group);
 /* ss_coordinator_adopt_primary: starts to name the primary in GROUP's object if
- * a server leads a later term than the object has, or leads its term while the
- * object names no primary.  Returns whether it did.
+ * a server leads a later term than the object has, leads its term while the
+ * object names no primary, or leads any term while there is no object.  Returns
+ * whether it did.
  */
 bool ss_coordinator_adopt_primary (SsNode *node, SsPromotion *promotion,
                                    SsGroup *group);
@@ -208,7 +209,8 @@
  * unreachable. */
 void ss_coordinator_poll_replicas (SsNode *node, SsPromotion *promotion,
                                    const SsGroup *group);
-/* ss_coordinator_is_suspect: whether the primary of GROUP is considered failed.
+/* ss_coordinator_is_suspect: whether the primary of GROUP is considered failed,
+ * or the group has been without one for too long.
  */
 bool ss_coordinator_is_suspect (SsNode *node, const SsPromotion *promotion,
                                 const SsGroup *group);
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -54,7 +54,7 @@
 typedef struct
 {
   SsNode *node;
-  bool own_only;
+  bool own_only;    /* only VMs of this failure domain */
   GPtrArray *found; /* of SsMember */
 } Collect;
 
