--- a/proto/peer.pb-c.h
+++ b/proto/peer.pb-c.h
@@ -53,7 +53,7 @@
 /* --- messages --- */
 
 /*
- * A place in a group's log.
+ * A position in a group's replication log.
  */
 struct  Ss__Peer__Position
 {
@@ -67,7 +67,7 @@
 
 
 /*
- * What a database server last said of itself.
+ * The last state that a database server reported.
  */
 struct  Ss__Peer__ServerState
 {
@@ -91,29 +91,32 @@
    */
   Ss__Peer__Position *applied;
   /*
-   * since it last heard its primary
+   * since it last heard from its primary
    */
   uint32_t silence_ms;
+  /*
+   * term of the primary that it follows or is
+   */
   uint64_t follow_term;
   /*
-   * first position of each term
+   * start of each of the latest terms
    */
   size_t n_history;
   Ss__Peer__Position **history;
   /*
-   * since the owner asked the server
+   * since the owner requested this state
    */
   uint32_t age_ms;
   /*
-   * predicted wait for a connection
+   * predicted queueing time of a new read
    */
   uint32_t wait_ms;
   /*
-   * of what it has applied behind its primary
+   * replication lag of the applied position
    */
   uint32_t lag_ms;
   /*
-   * receives nothing below this term; 0: not barred
+   * replicates no term below this one; 0: no bar
    */
   uint64_t barred_term;
 };
@@ -129,20 +132,29 @@
   char *failure_domain;
   char *ip;
   uint32_t peer_port;
+  /*
+   * it is in its graceful shutdown
+   */
   protobuf_c_boolean leaving;
   /*
-   * configuration in force
+   * platform revision of its configuration
    */
   int64_t revision;
+  /*
+   * VMs whose heartbeats it receives
+   */
   size_t n_heard;
   char **heard;
+  /*
+   * a configuration is in force
+   */
   protobuf_c_boolean ready;
   /*
-   * the platform answers this vm
+   * it watches the platform, which answers
    */
   protobuf_c_boolean platform_up;
   /*
-   * hash of the view that the receiver last sent
+   * hash of the receiver's last full Digest; 0: none
    */
   uint64_t digest;
 };
@@ -152,7 +164,7 @@
 
 
 /*
- * A vm as a relay hears of it.
+ * A VM that a relay reports as live.
  */
 struct  Ss__Peer__VmState
 {
@@ -170,23 +182,23 @@
 
 
 /*
- * A relay's answer to a heartbeat of its failure domain.
+ * A relay's answer to a heartbeat from its failure domain.
  */
 struct  Ss__Peer__Digest
 {
   ProtobufCMessage base;
   /*
-   * of the live vms that it knows
+   * of the list of live VMs that it knows
    */
   uint64_t hash;
   /*
-   * they follow; else they are as last sent
+   * vms is the list; else it is as last sent
    */
   protobuf_c_boolean full;
   size_t n_vms;
   Ss__Peer__VmState **vms;
   /*
-   * of the objects that it holds
+   * of the configuration objects that it stores
    */
   uint64_t config_hash;
 };
@@ -196,7 +208,8 @@
 
 
 /*
- * What the relays of two failure domains tell each other.
+ * A relay's report to the relays of other failure domains: the live VMs of its
+ * own.  hash and full are as in Digest.
  */
 struct  Ss__Peer__DomainReport
 {
@@ -212,6 +225,9 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0,NULL }
 
 
+/*
+ * Runs a statement: sent by the entry VM to the owner of the target.
+ */
 struct  Ss__Peer__Run
 {
   ProtobufCMessage base;
@@ -222,12 +238,15 @@
   ProtobufCBinaryData sql;
   protobuf_c_boolean is_read;
   /*
-   * inside a transaction
+   * belongs to an open transaction
    */
   protobuf_c_boolean pinned;
+  /*
+   * minimum position that a read must see
+   */
   Ss__Peer__Position *floor;
   /*
-   * of the deadline
+   * until the deadline
    */
   uint32_t left_ms;
   /*
@@ -236,7 +255,7 @@
   char *request_key;
   char *trace;
   /*
-   * of the caller; empty: not used
+   * of the caller; empty: none
    */
   char *identity;
   /*
@@ -244,28 +263,37 @@
    */
   char *label;
   /*
-   * opens its transaction first
+   * BEGIN is sent before it
    */
   protobuf_c_boolean begins;
+  /*
+   * its transaction is read-only
+   */
   protobuf_c_boolean transaction_is_read;
   /*
-   * what it does may outlast it
+   * its effect may be durable
    */
   protobuf_c_boolean keeps;
   /*
-   * of the session: name, value, ...
+   * session settings: name, value, ...
    */
   size_t n_values;
   char **values;
   /*
-   * of a prepared statement; empty: none
+   * of the prepared statement that it executes;
    */
   char *shape;
+  /*
+   * empty: none
+   */
   protobuf_c_boolean shape_is_read;
   /*
-   * only at a primary that is one after this came
+   * run only under a lease, or once the target is
    */
   protobuf_c_boolean confirm;
+  /*
+   * confirmed as the primary after this arrived
+   */
   /*
    * if pinned: the request that opened it
    */
@@ -280,19 +308,34 @@
 {
   ProtobufCMessage base;
   uint64_t request;
+  /*
+   * an SsVerdict
+   */
   uint32_t verdict;
+  /*
+   * an SsReason
+   */
   uint32_t reason;
   uint32_t retry_after_ms;
   /*
-   * answer in the callers' protocol
+   * result in the wire format of the callers
    */
   ProtobufCBinaryData wire;
+  /*
+   * absent: nothing was committed
+   */
   Ss__Peer__Position *commit;
+  /*
+   * the target's position when it answered
+   */
   Ss__Peer__Position *applied;
+  /*
+   * I, T or E
+   */
   uint32_t transaction_status;
   char *target;
   /*
-   * where wire is empty: a command tag
+   * command tag; used if wire is empty
    */
   char *tag;
   /*
@@ -315,12 +358,15 @@
     , 0 }
 
 
+/*
+ * Ends the statements and the transaction of a session at the receiver.
+ */
 struct  Ss__Peer__SessionEnd
 {
   ProtobufCMessage base;
   uint64_t session;
   /*
-   * the caller ended its transaction
+   * the caller ended its transaction; not used by the
    */
   protobuf_c_boolean rolls_back;
 };
@@ -330,7 +376,8 @@
 
 
 /*
- * Asks the owner of a target for its state, from a poll begun after this.
+ * Requests the state of a target from its owner.  Without held, the state comes
+ * from a poll that begins after the request arrived.
  */
 struct  Ss__Peer__StatusAsk
 {
@@ -338,11 +385,11 @@
   char *target;
   uint64_t ask;
   /*
-   * answer once this is held
+   * answer once its log contains this position
    */
   Ss__Peer__Position *held;
   /*
-   * where no answer of the target tells it before
+   * poll if no other answer of the target shows held
    */
   uint32_t poll_after_ms;
 };
@@ -356,16 +403,16 @@
   ProtobufCMessage base;
   char *target;
   /*
-   * 0: unasked
+   * of the StatusAsk; 0: unsolicited
    */
   uint64_t ask;
   Ss__Peer__ServerState *state;
   /*
-   * of a confirmed primary; absent: not known
+   * confirmed position of a primary; absent: unknown
    */
   Ss__Peer__Position *mark;
   /*
-   * since the primary was asked
+   * since the primary was asked for it
    */
   uint32_t mark_age_ms;
 };
@@ -374,6 +421,10 @@
     , (char *)protobuf_c_empty_string, 0, NULL, NULL, 0 }
 
 
+/*
+ * Subscribes to status reports of targets.  The subscription expires unless it
+ * is renewed.
+ */
 struct  Ss__Peer__Subscribe
 {
   ProtobufCMessage base;
@@ -385,13 +436,16 @@
     , 0,NULL }
 
 
+/*
+ * Requests a confirmed position of a group's primary.
+ */
 struct  Ss__Peer__MarkAsk
 {
   ProtobufCMessage base;
   char *group;
   uint64_t nonce;
   /*
-   * whose last writes are asked for
+   * callers whose last writes are requested
    */
   size_t n_identities;
   char **identities;
@@ -406,14 +460,17 @@
   ProtobufCMessage base;
   char *group;
   uint64_t nonce;
+  /*
+   * the confirmed position
+   */
   Ss__Peer__Position *mark;
   /*
-   * of the identities, in their order
+   * of the identities, in the same order
    */
   size_t n_floors;
   Ss__Peer__Position **floors;
   /*
-   * since the primary was asked, when the ask came
+   * age of mark when the request arrived
    */
   uint32_t age_ms;
 };
@@ -422,6 +479,9 @@
     , (char *)protobuf_c_empty_string, 0, NULL, 0,NULL, 0 }
 
 
+/*
+ * Requests that a target's term is raised.
+ */
 struct  Ss__Peer__RaiseAsk
 {
   ProtobufCMessage base;
@@ -434,7 +494,8 @@
 
 
 /*
- * Asks a vm that the platform answers for the groups as they are now.
+ * Asks a VM that the platform answers for the present versions of the group
+ * objects, as a list request to the platform would return them.
  */
 struct  Ss__Peer__LeaseAsk
 {
@@ -470,12 +531,16 @@
 
 
 /*
- * Asks whether a vm has taken a claim on a group over.
+ * Asks whether a VM has adopted the claim on a group.  A VM that has not does
+ * not reply.
  */
 struct  Ss__Peer__ClaimAsk
 {
   ProtobufCMessage base;
   char *group;
+  /*
+   * of the group's object with the claim
+   */
   int64_t version;
 };
 #define SS__PEER__CLAIM_ASK__INIT \
@@ -499,6 +564,9 @@
   ProtobufCMessage base;
   char *target;
   uint64_t term;
+  /*
+   * false: the target has a higher term
+   */
   protobuf_c_boolean accepted;
   Ss__Peer__ServerState *state;
 };
@@ -507,6 +575,9 @@
     , (char *)protobuf_c_empty_string, 0, 0, NULL }
 
 
+/*
+ * Requests the configuration objects with versions above since.
+ */
 struct  Ss__Peer__ConfigPull
 {
   ProtobufCMessage base;
@@ -533,16 +604,25 @@
 struct  Ss__Peer__ConfigPush
 {
   ProtobufCMessage base;
+  /*
+   * contains all objects with versions above this;
+   */
   int64_t since;
+  /*
+   * -1: single objects, and no revision
+   */
+  /*
+   * platform revision of the sender's configuration
+   */
   int64_t revision;
   size_t n_objects;
   Ss__Peer__ConfigObject **objects;
   /*
-   * the platform's list; empty where not sent
+   * the platform's list of VMs, JSON; empty: not sent
    */
   ProtobufCBinaryData vms;
   /*
-   * no other objects are there
+   * the platform has no other objects
    */
   protobuf_c_boolean complete;
 };
@@ -552,7 +632,7 @@
 
 
 /*
- * Asks a vm for the rows of a table that it answers for.
+ * Requests a VM's rows of a table that an operator command shows.
  */
 struct  Ss__Peer__RowsAsk
 {
@@ -580,7 +660,7 @@
 
 
 /*
- * Orders a planned stop.
+ * Requests the graceful shutdown of the receiver.
  */
 struct  Ss__Peer__StopAsk
 {
@@ -634,6 +714,9 @@
 struct  Ss__Peer__Envelope
 {
   ProtobufCMessage base;
+  /*
+   * name of the sending VM
+   */
   char *from;
   Ss__Peer__Envelope__BodyCase body_case;
   union {
--- a/src/core/admin.c
+++ b/src/core/admin.c
@@ -334,13 +334,13 @@
 
 void
 ss_admin_handle_stop_ask (SsNode *node, const char *from,
-                          const Ss__Peer__StopAsk *ask)
+                          const Ss__Peer__StopAsk *request)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__StopReply reply = SS__PEER__STOP_REPLY__INIT;
 
   ss_node_begin_shutdown (node);
-  reply.call = ask->call;
+  reply.call = request->call;
   e.body_case = SS__PEER__ENVELOPE__BODY_STOP_REPLY;
   e.stop_reply = &reply;
   ss_node_send (node, from, &e);
--- a/src/core/admin_show.c
+++ b/src/core/admin_show.c
@@ -76,7 +76,7 @@
 
 void
 ss_admin_show_handle_rows_ask (SsNode *node, const char *from,
-                               const Ss__Peer__RowsAsk *ask)
+                               const Ss__Peer__RowsAsk *request)
 {
   SsEnvelope e = SS__PEER__ENVELOPE__INIT;
   Ss__Peer__RowsReply reply = SS__PEER__ROWS_REPLY__INIT;
@@ -84,11 +84,11 @@
   json_t *rows;
   char *text;
 
-  if (!ss_table_find (ask->table, &table))
+  if (!ss_table_find (request->table, &table))
     return;
   rows = ss_tables_rows (node, table);
   text = json_dumps (rows, JSON_COMPACT);
-  reply.call = ask->call;
+  reply.call = request->call;
   reply.rows.data = (uint8_t *) text;
   reply.rows.len = strlen (text);
   e.body_case = SS__PEER__ENVELOPE__BODY_ROWS_REPLY;
--- a/src/core/coordinator.c
+++ b/src/core/coordinator.c
@@ -151,8 +151,8 @@
 }
 
 bool
-ss_coordinator_is_suspect (SsNode *node, const SsPromotion *p,
-                           const SsGroup *group)
+ss_coordinator_is_primary_suspect (SsNode *node, const SsPromotion *p,
+                                   const SsGroup *group)
 {
   const SsTarget *primary = ss_group_primary (group);
   int64_t down_ms = node->now_ms - p->primary_seen_ms;
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -163,7 +163,7 @@
     struct
     {
       SsPlatformOutcome outcome;
-      SsWatch feed;
+      SsWatch watch;
       bool complete;    /* objects holds all objects that the watch covers */
       bool listed;      /* answers PLATFORM_LIST with the present state */
       int64_t since;    /* revision that the watch started from */
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -377,11 +377,11 @@
 typedef struct
 {
   char *vm;
-  uint64_t ask;      /* request id, repeated in the answer */
-  char **identities; /* callers to return floors for; may be NULL */
-  SsPosition held;   /* position that the log must contain; offset 0: none */
-  uint64_t poll;     /* answered by this poll or a later one */
-  int64_t poll_ms;   /* earliest time of a poll for it */
+  uint64_t request_id; /* repeated in the answer */
+  char **identities;   /* callers to return floors for; may be NULL */
+  SsPosition held;     /* position that the log must contain; offset 0: none */
+  uint64_t poll;       /* answered by this poll or a later one */
+  int64_t poll_ms;     /* earliest time of a poll for it */
   int64_t expires_ms;
 } SsStatusRequest;
 
@@ -435,7 +435,7 @@
 
   SsWriters writers;
   GQueue waiters;           /* jobs whose commit waits for a majority */
-  SsPosition unheld;        /* highest commit not known to have a majority */
+  SsPosition unreplicated;  /* highest commit not known to have a majority */
   bool replication_stalled; /* a commit waits too long: no new ones are taken */
   GQueue unconfirmed;       /* jobs that wait for a confirmed primary */
   SsConfirmedPosition last_position; /* latest one reported by an answer */
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -197,7 +197,7 @@
 
   request->vm = g_strdup (from);
   request->nonce = ask->nonce;
-  request->asked_ms = node->now_ms;
+  request->received_ms = node->now_ms;
   g_queue_push_tail (&node->lease_requests, request);
   if (!node->lease_requested_ms)
     request_group_list (node);
@@ -250,7 +250,7 @@
   SsLeaseRequest *request;
 
   while ((request = g_queue_peek_head (&node->lease_requests))
-         && request->asked_ms <= requested_ms)
+         && request->received_ms <= requested_ms)
     {
       if (list->platform_objects.outcome == SS_PLATFORM_DONE)
         send_reply (node, request, list);
@@ -312,9 +312,9 @@
 {
   int64_t requested_ms = node->lease_requested_ms;
 
-  if (e->platform_objects.feed == SS_WATCH_VMS)
+  if (e->platform_objects.watch == SS_WATCH_VMS)
     handle_vm_list (node, e->platform_objects.outcome);
-  if (e->platform_objects.feed != SS_WATCH_GROUPS || !node->lease_requested_ms)
+  if (e->platform_objects.watch != SS_WATCH_GROUPS || !node->lease_requested_ms)
     return;
   node->lease_requested_ms = 0;
   if (e->platform_objects.outcome == SS_PLATFORM_DONE)
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -17,7 +17,7 @@
 
   g_free (p->group);
   g_free (p->requested_server);
-  g_free (p->leaving);
+  g_free (p->replaced_primary);
   g_free (p->chosen);
   g_hash_table_destroy (p->raised_positions);
   g_clear_pointer (&p->released, g_hash_table_destroy);
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -66,7 +66,7 @@
 {
   char *vm;
   uint64_t nonce;
-  int64_t asked_ms;
+  int64_t received_ms;
 } SsLeaseRequest;
 
 /* State of one watch on the platform. */
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -181,9 +181,9 @@
   g_hash_table_remove_all (p->raised_positions);
   p->quorum_ms = 0;
   g_clear_pointer (&p->chosen, g_free);
-  g_clear_pointer (&p->leaving, g_free);
+  g_clear_pointer (&p->replaced_primary, g_free);
   if (p->requested)
-    p->leaving = g_strdup (group->primary);
+    p->replaced_primary = g_strdup (group->primary);
   ss_node_count (node, SS_COUNTER_PROMOTIONS);
   ss_node_log (node, SS_EVENT_LOG_PROMOTION_STARTED, p->group,
                "term=%" G_GUINT64_FORMAT " old_primary=%s ordered=%d", p->term,
@@ -282,7 +282,7 @@
       p->requested = true;
       p->retry_ms = node->now_ms + DRAIN_RETRY_MS;
     }
-  else if (!p->requested && !ss_coordinator_is_suspect (node, p, group))
+  else if (!p->requested && !ss_coordinator_is_primary_suspect (node, p, group))
     return;
   if (!p->requested)
     ss_node_log (node, SS_EVENT_LOG_SUSPECT, p->group,
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -68,7 +68,7 @@
   int64_t version;    /* of the group's object that the next write expects */
   char operation[96]; /* unique id, stored in the group's object */
   char *requested_server; /* server that an operator requests, or NULL */
-  char *leaving;          /* primary to be replaced, never chosen; or NULL */
+  char *replaced_primary; /* primary to be replaced, never chosen; or NULL */
   char *chosen;           /* the new primary; NULL: not chosen yet */
   bool requested;         /* by an operator or a drain, not by a failure */
   uint64_t operator_call; /* operator command to be answered; 0: none */
@@ -209,11 +209,12 @@
  * unreachable. */
 void ss_coordinator_poll_replicas (SsNode *node, SsPromotion *promotion,
                                    const SsGroup *group);
-/* ss_coordinator_is_suspect: whether the primary of GROUP is considered failed,
- * or the group has been without one for too long.
+/* ss_coordinator_is_primary_suspect: whether the primary of GROUP is considered
+ * failed, or the group has been without one for too long.
  */
-bool ss_coordinator_is_suspect (SsNode *node, const SsPromotion *promotion,
-                                const SsGroup *group);
+bool ss_coordinator_is_primary_suspect (SsNode *node,
+                                        const SsPromotion *promotion,
+                                        const SsGroup *group);
 /* ss_coordinator_call_platform: starts the platform's promotion of the chosen
  * server. */
 void ss_coordinator_call_platform (SsNode *node, SsPromotion *promotion);
--- a/src/core/queue.c
+++ b/src/core/queue.c
@@ -41,7 +41,7 @@
 static uint32_t
 write_reserve (uint32_t connections)
 {
-  uint32_t reserve = connections / SS_QUEUE_WRITE_SHARE;
+  uint32_t reserve = connections / SS_QUEUE_WRITE_RESERVE_DIVISOR;
 
   return reserve == 0 && connections > 1 ? 1 : reserve;
 }
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -17,7 +17,7 @@
 #define SS_QUEUE_INITIAL_RUN_MS 1.0
 #define SS_QUEUE_RUN_GAIN 0.05
 /* One in this many connections is reserved for writes. */
-#define SS_QUEUE_WRITE_SHARE 4
+#define SS_QUEUE_WRITE_RESERVE_DIVISOR 4
 #define SS_QUEUE_BYTES_MAX (16 * 1024 * 1024)
 
 typedef enum
--- a/src/core/quorum.c
+++ b/src/core/quorum.c
@@ -93,19 +93,20 @@
 {
   uint32_t poll_after_ms = FIRST_POLL_AFTER_MS;
 
-  for (uint32_t i = 0; owned->unheld.offset && i < group->server_count; i++)
+  for (uint32_t i = 0; owned->unreplicated.offset && i < group->server_count;
+       i++)
     {
       SsTarget *t = group->servers[i];
 
-      if (t == owned->target || has_replicated (t, owned->unheld))
+      if (t == owned->target || has_replicated (t, owned->unreplicated))
         continue;
       if (owned->replica_requests[i]
           && node->now_ms - owned->replica_requested_ms[i] < STATUS_RETRY_MS)
         continue;
       owned->replica_requests[i] = ++node->next_status_request;
       owned->replica_requested_ms[i] = node->now_ms;
-      send_status_request (node, t, owned->replica_requests[i], owned->unheld,
-                           poll_after_ms);
+      send_status_request (node, t, owned->replica_requests[i],
+                           owned->unreplicated, poll_after_ms);
       poll_after_ms = OTHERS_POLL_AFTER_MS;
     }
 }
@@ -127,22 +128,22 @@
   const SsJob *first = g_queue_peek_head (&owned->waiters);
   bool replication_stalled = owned->replication_stalled;
 
-  if (owned->unheld.offset
-      && (has_majority (group, owned, owned->unheld)
-          || is_superseded (group, owned, owned->unheld)))
-    owned->unheld = (SsPosition){ 0, 0 };
-  if (!owned->unheld.offset)
+  if (owned->unreplicated.offset
+      && (has_majority (group, owned, owned->unreplicated)
+          || is_superseded (group, owned, owned->unreplicated)))
+    owned->unreplicated = (SsPosition){ 0, 0 };
+  if (!owned->unreplicated.offset)
     replication_stalled = false;
   else if (first && node->now_ms - first->committed_ms >= STALLED_AFTER_MS)
     replication_stalled = true;
   if (replication_stalled == owned->replication_stalled)
     return;
   owned->replication_stalled = replication_stalled;
-  ss_node_log (node,
-               replication_stalled ? SS_EVENT_LOG_UNHELD : SS_EVENT_LOG_HELD,
-               owned->target->name,
-               "group=%s unheld=%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT,
-               group->name, owned->unheld.term, owned->unheld.offset);
+  ss_node_log (
+      node, replication_stalled ? SS_EVENT_LOG_UNHELD : SS_EVENT_LOG_HELD,
+      owned->target->name,
+      "group=%s unheld=%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, group->name,
+      owned->unreplicated.term, owned->unreplicated.offset);
 }
 
 /* Answers every waiting commit whose outcome is known or whose deadline has
@@ -180,7 +181,7 @@
   SsGroup *group = ss_owned_group (node, owned);
 
   job->committed_ms = node->now_ms;
-  owned->unheld = ss_position_max (owned->unheld, job->commit);
+  owned->unreplicated = ss_position_max (owned->unreplicated, job->commit);
   g_queue_push_tail (&owned->waiters, job);
   if (!group)
     return;
@@ -195,7 +196,7 @@
     {
       SsOwnedTarget *owned = ss_owner_find (node, group->servers[i]->name);
 
-      if (!owned || !owned->unheld.offset)
+      if (!owned || !owned->unreplicated.offset)
         continue;
       check_waiters (node, owned, group);
       update_stalled (node, owned, group);
@@ -359,7 +360,7 @@
 
       ss_position_pack (&p, r->position);
       m.group = group->name;
-      m.nonce = request->ask;
+      m.nonce = request->request_id;
       m.mark = &p;
       e.body_case = SS__PEER__ENVELOPE__BODY_MARK_REPLY;
       e.mark_reply = &m;
@@ -409,7 +410,7 @@
     }
   request = g_new0 (SsStatusRequest, 1);
   request->vm = g_strdup (from);
-  request->ask = m->nonce;
+  request->request_id = m->nonce;
   request->identities = copy_identities (m);
   g_ptr_array_add (owned->round.next, request);
   if (!owned->round.running)
@@ -506,7 +507,7 @@
 
   if (!group)
     return;
-  if (owned->unheld.offset)
+  if (owned->unreplicated.offset)
     {
       check_waiters (node, owned, group);
       update_stalled (node, owned, group);
--- a/src/core/target_monitor.c
+++ b/src/core/target_monitor.c
@@ -147,7 +147,7 @@
         continue;
       if (r->held.offset && !settled && node->now_ms < r->expires_ms)
         continue;
-      send_report (node, owned, r->vm, r->ask);
+      send_report (node, owned, r->vm, r->request_id);
       g_ptr_array_remove_index (owned->status_requests, i - 1);
     }
   /* No poll is needed once no request is left. */
@@ -461,7 +461,7 @@
     return;
   r = g_new0 (SsStatusRequest, 1);
   r->vm = g_strdup (from);
-  r->ask = m->ask;
+  r->request_id = m->ask;
   r->held = ss_position_unpack (m->held);
   r->poll = owned->poll + 1;
   r->poll_ms = node->now_ms;
@@ -502,15 +502,15 @@
 
 void
 ss_target_monitor_handle_raise_ask (SsNode *node, const char *from,
-                                    const Ss__Peer__RaiseAsk *ask)
+                                    const Ss__Peer__RaiseAsk *request)
 {
-  SsOwnedTarget *owned = ss_owner_find (node, ask->target);
+  SsOwnedTarget *owned = ss_owner_find (node, request->target);
 
-  if (!owned || !owned->active || ask->term < owned->raise_term)
+  if (!owned || !owned->active || request->term < owned->raise_term)
     return;
-  if (ask->term > owned->raise_term)
+  if (request->term > owned->raise_term)
     g_ptr_array_set_size (owned->raise_requesters, 0);
-  owned->raise_term = ask->term;
+  owned->raise_term = request->term;
   for (guint i = 0; i < owned->raise_requesters->len; i++)
     if (strcmp (g_ptr_array_index (owned->raise_requesters, i), from) == 0)
       return;
--- a/src/core/term_raise.c
+++ b/src/core/term_raise.c
@@ -34,7 +34,9 @@
 static bool
 is_candidate (const SsPromotion *p, const SsTarget *t)
 {
-  return !t->draining && (!p->leaving || strcmp (p->leaving, t->name) != 0);
+  return !t->draining
+         && (!p->replaced_primary
+             || strcmp (p->replaced_primary, t->name) != 0);
 }
 
 /* Returns how many candidates must have raised their term so that every
@@ -132,7 +134,7 @@
   uint32_t candidates = 0;
 
   /* Lets the old primary's last writes reach its replicas first. */
-  if (p->leaving && node->dialect->platform_promotes
+  if (p->replaced_primary && node->dialect->platform_promotes
       && node->now_ms - p->since_ms < HANDOVER_MS)
     return;
   for (uint32_t i = 0; i < group->server_count; i++)
--- a/src/core/watch.c
+++ b/src/core/watch.c
@@ -70,7 +70,7 @@
   for (uint32_t i = 0; i < e->platform_objects.object_count; i++)
     g_hash_table_add (present, (gpointer) e->platform_objects.objects[i].key);
   deleted = ss_config_sync_delete_missing (
-      node, ss_watch_prefix (e->platform_objects.feed),
+      node, ss_watch_prefix (e->platform_objects.watch),
       e->platform_objects.revision, present);
   g_hash_table_destroy (present);
   return deleted;
@@ -116,7 +116,7 @@
 void
 ss_watch_handle_objects (SsNode *node, const SsEvent *e)
 {
-  SsWatchState *watch = &node->watches[e->platform_objects.feed];
+  SsWatchState *watch = &node->watches[e->platform_objects.watch];
   int64_t since = e->platform_objects.since;
   bool adopted = false;
 
@@ -140,9 +140,9 @@
       return;
     }
   watch->due_ms = node->now_ms;
-  if (e->platform_objects.feed == SS_WATCH_VMS)
+  if (e->platform_objects.watch == SS_WATCH_VMS)
     watch->due_ms += VMS_BATCH_MS;
-  if (e->platform_objects.feed == SS_WATCH_TARGETS)
+  if (e->platform_objects.watch == SS_WATCH_TARGETS)
     watch->due_ms += TARGETS_BATCH_MS;
   watch->complete = watch->complete || e->platform_objects.complete;
   adopted = adopt_all (node, e);
--- a/tests/line_sim.c
+++ b/tests/line_sim.c
@@ -100,7 +100,7 @@
       o->version = *(int64_t *) g_hash_table_lookup (sim->versions, o->key);
     }
   g_ptr_array_free (found, TRUE);
-  d->event.platform_objects.feed = watch;
+  d->event.platform_objects.watch = watch;
   d->event.platform_objects.outcome
       = sim->platform_down ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_DONE;
   d->event.platform_objects.objects = d->objects;
@@ -200,7 +200,7 @@
   o.version = sim->version;
   for (uint32_t i = 0; i < SS_WATCH_COUNT; i++)
     if (i != SS_WATCH_ALL && g_str_has_prefix (key, ss_watch_prefix (i)))
-      e.platform_objects.feed = (SsWatch) i;
+      e.platform_objects.watch = (SsWatch) i;
   e.platform_objects.outcome = SS_PLATFORM_DONE;
   e.platform_objects.objects = &o;
   e.platform_objects.object_count = 1;
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -86,7 +86,7 @@
       objects[j].value_bytes = (uint32_t) strlen (values[j]);
       objects[j].version = 5;
     }
-  e.platform_objects.feed = SS_WATCH_VMS;
+  e.platform_objects.watch = SS_WATCH_VMS;
   e.platform_objects.outcome = SS_PLATFORM_DONE;
   e.platform_objects.complete = true;
   e.platform_objects.objects = objects;
