--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -292,7 +292,7 @@
       "Session settings, as the libpq option \"options\"", "TEXT" },
     { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement", "SQL" },
     { "callers", 0, 0, G_OPTION_ARG_INT, &bench.callers, "Connections", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Duration", "S" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Length", "S" },
     { "rate", 0, 0, G_OPTION_ARG_INT, &bench.rate,
       "Statements per second (open loop)", "N" },
     { "idle", 0, 0, G_OPTION_ARG_NONE, &bench.idle,
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -562,7 +562,7 @@
       "Address of a vm's admin API", "IP:PORT" },
     { "service", 0, 0, G_OPTION_ARG_STRING, &load.service, "Service", "NAME" },
     { "callers", 0, 0, G_OPTION_ARG_INT, &load.callers, "Callers", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Duration", "S" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Length", "S" },
     { "writes", 0, 0, G_OPTION_ARG_INT, &load.write_percent,
       "Share of writes in percent", "P" },
     { "ids", 0, 0, G_OPTION_ARG_INT, &load.id_percent,
--- a/standin/network.c
+++ b/standin/network.c
@@ -338,8 +338,8 @@
 
   if (argc < 4)
     {
-      fprintf (stderr, "usage: ss-standin-network CONTROL-IP CONTROL-PORT "
-                       "LISTEN-IP:PORT=IP:PORT...\n");
+      fprintf (stderr, "usage: ss-standin-network CONTROL-IP PORT "
+                       "LISTEN:PORT=IP:PORT...\n");
       return 2;
     }
   net.loop = ev_default_loop (0);
