--- a/bench/failover.sh
+++ b/bench/failover.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Measures the failover gap and the times of detection and promotion, and counts
-# lost, duplicated and stale rows, over RUNS runs each of a crash, a freeze and a
-# network partition of the primary, PARALLEL at a time.  Then delays each
+# lost writes, duplicated rows and stale reads, over RUNS runs each of a crash, a
+# freeze and a network partition of the primary, PARALLEL at a time.  Then delays each
 # statement at the primary by 1 s for 4 s, which must not cause a promotion.
 set -eu
 cd "$(dirname "$0")/.."
