--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -50,7 +50,7 @@
   uint64_t completed;
   uint64_t refused;
   uint64_t dropped;    /* arrivals while no connection was idle */
-  double due_arrivals; /* fraction of a statement carries over */
+  double due_arrivals; /* a fraction carries over to the next interval */
   SsLedger ledger;     /* only its latencies are used */
   GArray *refusal_latencies_us;
   int64_t memory_before_kb;
