--- a/bench/soak_lies.sh
+++ b/bench/soak_defects.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Tests that the checks of the soak test detect faulty servers.
 #
-# usage: bench/soak_lies.sh DIR [SEEDS]
+# usage: bench/soak_defects.sh DIR [SEEDS]
 #
 # Runs the first SEEDS seeds (default 4) with each defect that SS_STANDIN_LIE
 # can inject into ss-standin-target.  Prints the checks that failed for each
@@ -10,7 +10,7 @@
 
 . "$(dirname "$0")/days.sh"
 
-[ $# -ge 1 ] || die "usage: bench/soak_lies.sh DIR [SEEDS]"
+[ $# -ge 1 ] || die "usage: bench/soak_defects.sh DIR [SEEDS]"
 dir=$1
 seeds=${2:-4}
 missed=0
