--- a/tests/client.c
+++ b/tests/client.c
@@ -40,6 +40,9 @@
   return PQconnectdb (conninfo);
 }
 
+/* Runs SQL and returns whether its first value, SQLSTATE or command tag is
+ * EXPECTED.
+ */
 static bool
 returns (PGconn *pq, const char *sql, const char *expected)
 {
@@ -82,10 +85,11 @@
   check (returns (pq, "BEGIN", "BEGIN"), "BEGIN");
   check (returns (pq, update, "UPDATE 1"), "UPDATE");
   check (PQtransactionStatus (pq) == PQTRANS_INTRANS,
-         "the transaction status after BEGIN");
+         "the transaction status after BEGIN is wrong");
   check (returns (pq, "ROLLBACK", "ROLLBACK"), "ROLLBACK");
   check (returns (pq, select, "1"), "SELECT after ROLLBACK");
-  check (returns (pq, "SELEKT", "42601"), "a syntax error's SQLSTATE");
+  check (returns (pq, "SELEKT", "42601"),
+         "the SQLSTATE of a syntax error is wrong");
   r = PQexecParams (pq, "SELECT $1", 1, NULL, (const char *const[]){ "1" },
                     NULL, NULL, 0);
   check (PQresultStatus (r) == PGRES_FATAL_ERROR
@@ -107,10 +111,10 @@
              "SET request_id");
       check (returns (pq, "INSERT INTO notes (key, value) VALUES ('b', '1')",
                       "INSERT 0 1"),
-             "INSERT with a request id");
+             "INSERT with an idempotency key");
     }
   check (returns (pq, "SELECT count(*) FROM notes WHERE key = 'b'", "1"),
-         "a write with a repeated request id ran again");
+         "a write with a repeated idempotency key ran again");
   PQfinish (pq);
 }
 
@@ -123,16 +127,17 @@
   PGresult *r;
 
   PQsendQuery (pq, "SELECT value FROM notes WHERE key = 'a'");
-  check (PQcancel (cancel, text, sizeof text) == 1, "a cancel is refused");
+  check (PQcancel (cancel, text, sizeof text) == 1,
+         "a cancel request is refused");
   r = PQgetResult (pq);
   check (PQresultStatus (r) == PGRES_TUPLES_OK
              || strcmp (PQresultErrorField (r, PG_DIAG_SQLSTATE), "57014") == 0,
-         "a cancelled statement's SQLSTATE");
+         "the SQLSTATE of a cancelled statement is wrong");
   PQclear (r);
   while ((r = PQgetResult (pq)))
     PQclear (r);
   check (returns (pq, "SELECT value FROM notes WHERE key = 'a'", "1"),
-         "the connection is not usable after a cancel");
+         "the connection is not usable after a cancel request");
   PQfreeCancel (cancel);
   PQfinish (pq);
 }
--- a/tests/line_sim.c
+++ b/tests/line_sim.c
@@ -41,27 +41,27 @@
 static ScheduledEvent *
 schedule (LineSim *sim, int64_t after_ms, SsEventKind kind)
 {
-  ScheduledEvent *d = g_new0 (ScheduledEvent, 1);
+  ScheduledEvent *scheduled = g_new0 (ScheduledEvent, 1);
 
-  d->at_ms = sim->now_ms + after_ms;
-  d->event.kind = kind;
-  g_queue_insert_sorted (&sim->schedule, d, compare_scheduled, NULL);
-  return d;
+  scheduled->at_ms = sim->now_ms + after_ms;
+  scheduled->event.kind = kind;
+  g_queue_insert_sorted (&sim->schedule, scheduled, compare_scheduled, NULL);
+  return scheduled;
 }
 
 static void
 scheduled_free (gpointer data)
 {
-  ScheduledEvent *d = data;
+  ScheduledEvent *scheduled = data;
 
-  if (d->wire)
-    g_bytes_unref (d->wire);
-  for (uint32_t i = 0; i < d->cell_count; i++)
-    g_free (d->cells[i]);
-  if (d->texts)
-    g_string_chunk_free (d->texts);
-  g_free (d->objects);
-  g_free (d);
+  if (scheduled->wire)
+    g_bytes_unref (scheduled->wire);
+  for (uint32_t i = 0; i < scheduled->cell_count; i++)
+    g_free (scheduled->cells[i]);
+  if (scheduled->texts)
+    g_string_chunk_free (scheduled->texts);
+  g_free (scheduled->objects);
+  g_free (scheduled);
 }
 
 /* --- violations --- */
@@ -78,7 +78,7 @@
 /* --- the platform --- */
 
 static void
-fill_objects (LineSim *sim, ScheduledEvent *d, SsWatch watch, bool all)
+fill_objects (LineSim *sim, ScheduledEvent *scheduled, SsWatch watch, bool all)
 {
   GPtrArray *found = g_ptr_array_new ();
   uint32_t count = 0;
@@ -87,26 +87,28 @@
        n = g_tree_node_next (n))
     if (g_str_has_prefix (g_tree_node_key (n), ss_watch_prefix (watch)))
       g_ptr_array_add (found, n);
-  d->objects = g_new0 (SsObject, found->len + 1);
-  d->texts = g_string_chunk_new (1024);
+  scheduled->objects = g_new0 (SsObject, found->len + 1);
+  scheduled->texts = g_string_chunk_new (1024);
   for (guint i = 0; all && i < found->len; i++)
     {
       GTreeNode *n = g_ptr_array_index (found, i);
-      SsObject *o = &d->objects[count++];
+      SsObject *o = &scheduled->objects[count++];
 
-      o->key = g_string_chunk_insert (d->texts, g_tree_node_key (n));
-      o->value = g_string_chunk_insert (d->texts, g_tree_node_value (n));
+      o->key = g_string_chunk_insert (scheduled->texts, g_tree_node_key (n));
+      o->value
+          = g_string_chunk_insert (scheduled->texts, g_tree_node_value (n));
       o->value_bytes = (uint32_t) strlen (o->value);
       o->version = *(int64_t *) g_hash_table_lookup (sim->versions, o->key);
     }
   g_ptr_array_free (found, TRUE);
-  d->event.platform_objects.feed = watch;
-  d->event.platform_objects.outcome
+  scheduled->event.platform_objects.feed = watch;
+  scheduled->event.platform_objects.outcome
       = sim->platform_down ? SS_PLATFORM_UNKNOWN : SS_PLATFORM_DONE;
-  d->event.platform_objects.objects = d->objects;
-  d->event.platform_objects.object_count = sim->platform_down ? 0 : count;
-  d->event.platform_objects.revision = sim->version;
-  d->event.platform_objects.complete = all;
+  scheduled->event.platform_objects.objects = scheduled->objects;
+  scheduled->event.platform_objects.object_count
+      = sim->platform_down ? 0 : count;
+  scheduled->event.platform_objects.revision = sim->version;
+  scheduled->event.platform_objects.complete = all;
 }
 
 static void
@@ -122,20 +124,20 @@
 static void
 answer_put (LineSim *sim, const SsAction *a)
 {
-  ScheduledEvent *d = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECT);
-  SsObject *o = &d->event.platform_object.object;
+  ScheduledEvent *scheduled = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECT);
+  SsObject *o = &scheduled->event.platform_object.object;
 
-  d->event.platform_object.call = a->id;
-  d->event.platform_object.outcome = SS_PLATFORM_UNKNOWN;
+  scheduled->event.platform_object.call = a->id;
+  scheduled->event.platform_object.outcome = SS_PLATFORM_UNKNOWN;
   if (sim->platform_down)
     return;
   store_object (sim, a->name, a->text);
-  d->event.platform_object.outcome = SS_PLATFORM_DONE;
-  d->cells[0] = g_strdup (a->name);
-  d->cells[1] = g_strdup (a->text);
-  d->cell_count = 2;
-  o->key = d->cells[0];
-  o->value = d->cells[1];
+  scheduled->event.platform_object.outcome = SS_PLATFORM_DONE;
+  scheduled->cells[0] = g_strdup (a->name);
+  scheduled->cells[1] = g_strdup (a->text);
+  scheduled->cell_count = 2;
+  o->key = scheduled->cells[0];
+  o->value = scheduled->cells[1];
   o->value_bytes = (uint32_t) strlen (o->value);
   o->version = sim->version;
 }
@@ -146,7 +148,7 @@
 static void
 promote (LineSim *sim, const SsAction *a)
 {
-  ScheduledEvent *d = schedule (sim, 4, SS_EVENT_PLATFORM_PROMOTED);
+  ScheduledEvent *scheduled = schedule (sim, 4, SS_EVENT_PLATFORM_PROMOTED);
 
   if (a->number <= sim->last_fencing_token)
     record_violation (sim, "fencing token did not increase", a->name, a->text);
@@ -154,27 +156,27 @@
   sim->promotions++;
   sim->promoted = find_server (sim, a->text);
   sim->promotion_due_ms = sim->now_ms + PROMOTION_DELAY_MS;
-  d->event.platform_object.call = a->id;
-  d->event.platform_object.outcome = SS_PLATFORM_DONE;
+  scheduled->event.platform_object.call = a->id;
+  scheduled->event.platform_object.outcome = SS_PLATFORM_DONE;
 }
 
 static void
 answer_platform (LineSim *sim, const SsAction *a)
 {
-  ScheduledEvent *d;
+  ScheduledEvent *scheduled;
 
   switch (a->kind)
     {
     case SS_ACTION_PLATFORM_WATCH:
       if (a->number)
         return; /* line_sim_put delivers changes */
-      d = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECTS);
-      fill_objects (sim, d, (SsWatch) a->id, true);
+      scheduled = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECTS);
+      fill_objects (sim, scheduled, (SsWatch) a->id, true);
       break;
     case SS_ACTION_PLATFORM_LIST:
-      d = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECTS);
-      fill_objects (sim, d, (SsWatch) a->id, true);
-      d->event.platform_objects.listed = true;
+      scheduled = schedule (sim, 4, SS_EVENT_PLATFORM_OBJECTS);
+      fill_objects (sim, scheduled, (SsWatch) a->id, true);
+      scheduled->event.platform_objects.listed = true;
       break;
     case SS_ACTION_PLATFORM_PUT:
       answer_put (sim, a);
@@ -377,7 +379,9 @@
   replicate (sim);
 }
 
-/* Runs TEXT at the connection's server; returns the fault, if any. */
+/* Runs TEXT at the connection's server; returns the fault, if any.  LABEL is
+ * the id of a caller's statement, or NULL for a statement of the proxy.
+ */
 static SsTargetFault
 run_statement (LineSim *sim, LineConnection *c, const char *label,
                const char *text)
@@ -441,20 +445,23 @@
 }
 
 static void
-fill_status (LineServer *s, ScheduledEvent *d)
-{
-  d->cells[0] = g_strdup (s->role == SS_SERVER_PRIMARY ? "primary" : "replica");
-  d->cells[1] = g_strdup_printf ("%" G_GUINT64_FORMAT, s->term);
-  d->cells[2] = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
-                                 s->received.term, s->received.offset);
-  d->cells[3] = g_strdup_printf ("%" G_GUINT64_FORMAT, s->barred_term);
+fill_status (LineServer *s, ScheduledEvent *scheduled)
+{
+  scheduled->cells[0]
+      = g_strdup (s->role == SS_SERVER_PRIMARY ? "primary" : "replica");
+  scheduled->cells[1] = g_strdup_printf ("%" G_GUINT64_FORMAT, s->term);
+  scheduled->cells[2]
+      = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
+                         s->received.term, s->received.offset);
+  scheduled->cells[3] = g_strdup_printf ("%" G_GUINT64_FORMAT, s->barred_term);
   for (uint32_t i = 4; i < 7; i++)
-    d->cells[i] = g_strdup ("0");
-  d->cells[7] = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
-                                 s->applied.term, s->applied.offset);
-  d->cell_count = 8;
-  d->result.row = (const char *const *) d->cells;
-  d->result.row_cells = d->cell_count;
+    scheduled->cells[i] = g_strdup ("0");
+  scheduled->cells[7]
+      = g_strdup_printf ("%" G_GUINT64_FORMAT ".%" G_GUINT64_FORMAT,
+                         s->applied.term, s->applied.offset);
+  scheduled->cell_count = 8;
+  scheduled->result.row = (const char *const *) scheduled->cells;
+  scheduled->result.row_cells = scheduled->cell_count;
 }
 
 /* Removes the floor that TEXT may begin with.  Compares only its offset, not
@@ -479,7 +486,7 @@
 
 static SsTargetFault
 run_text (LineSim *sim, LineConnection *c, const char *label, const char *text,
-          ScheduledEvent *d)
+          ScheduledEvent *scheduled)
 {
   LineServer *s = c->server;
 
@@ -487,7 +494,7 @@
     {
       sim->status_requests++;
       sim->primary_status_requests += s == &sim->servers[0] ? 1 : 0;
-      fill_status (s, d);
+      fill_status (s, scheduled);
       return SS_TARGET_FAULT_NONE;
     }
   if (strcmp (text, "RESET") == 0)
@@ -533,28 +540,28 @@
 {
   LineConnection *c = g_hash_table_lookup (sim->connections, &a->id);
   int64_t after_ms = 1 + g_rand_int_range (sim->rand, 0, ANSWER_MAX_MS);
-  ScheduledEvent *d;
+  ScheduledEvent *scheduled;
 
   if (!c)
     return;
   replicate (sim);
-  d = schedule (sim, after_ms, SS_EVENT_TARGET_RESULT);
-  d->result.fault = run_text (sim, c, a->label, a->text, d);
+  scheduled = schedule (sim, after_ms, SS_EVENT_TARGET_RESULT);
+  scheduled->result.fault = run_text (sim, c, a->label, a->text, scheduled);
   if (loses_answer (sim, a->label))
     {
-      d->event.kind = SS_EVENT_TARGET_CLOSED;
-      d->event.target.connection = c->id;
+      scheduled->event.kind = SS_EVENT_TARGET_CLOSED;
+      scheduled->event.target.connection = c->id;
       return;
     }
-  d->result.ok = d->result.fault == SS_TARGET_FAULT_NONE;
-  d->result.transaction_status = c->status;
-  d->result.applied = c->server->applied;
-  d->result.sqlstate = "";
-  d->result.tag = "";
-  d->wire = g_bytes_new_static ("x", 1);
-  d->result.wire = d->wire;
-  d->event.target_result.connection = c->id;
-  d->event.target_result.result = &d->result;
+  scheduled->result.ok = scheduled->result.fault == SS_TARGET_FAULT_NONE;
+  scheduled->result.transaction_status = c->status;
+  scheduled->result.applied = c->server->applied;
+  scheduled->result.sqlstate = "";
+  scheduled->result.tag = "";
+  scheduled->wire = g_bytes_new_static ("x", 1);
+  scheduled->result.wire = scheduled->wire;
+  scheduled->event.target_result.connection = c->id;
+  scheduled->event.target_result.result = &scheduled->result;
 }
 
 static void
@@ -570,18 +577,19 @@
 connect_server (LineSim *sim, const SsAction *a)
 {
   LineConnection *c = g_new0 (LineConnection, 1);
-  ScheduledEvent *d = schedule (sim, HANDSHAKE_MS, SS_EVENT_TARGET_READY);
+  ScheduledEvent *scheduled
+      = schedule (sim, HANDSHAKE_MS, SS_EVENT_TARGET_READY);
 
   c->id = a->id;
   c->server = find_server (sim, a->name);
   if (!c->server || c->server->down)
     {
-      d->event.kind = SS_EVENT_TARGET_CLOSED;
-      d->event.target.refused = true;
+      scheduled->event.kind = SS_EVENT_TARGET_CLOSED;
+      scheduled->event.target.refused = true;
     }
   c->status = 'I';
   g_hash_table_insert (sim->connections, &c->id, c);
-  d->event.target.connection = c->id;
+  scheduled->event.target.connection = c->id;
 }
 
 /* --- callers --- */
@@ -618,7 +626,7 @@
 }
 
 static void
-handle_peer_message (LineSim *sim, const SsAction *a)
+record_lease_request (LineSim *sim, const SsAction *a)
 {
   gsize bytes;
   const uint8_t *data = g_bytes_get_data (a->bytes, &bytes);
@@ -651,7 +659,7 @@
           handle_reply (sim, &a);
           break;
         case SS_ACTION_PEER_SEND:
-          handle_peer_message (sim, &a);
+          record_lease_request (sim, &a);
           break;
         default:
           answer_platform (sim, &a);
@@ -731,15 +739,16 @@
 }
 
 static void
-deliver (LineSim *sim, ScheduledEvent *d)
+deliver (LineSim *sim, ScheduledEvent *scheduled)
 {
-  if (is_deliverable (sim, &d->event))
+  if (is_deliverable (sim, &scheduled->event))
     {
-      if (d->event.kind == SS_EVENT_TARGET_CLOSED)
-        g_hash_table_remove (sim->connections, &d->event.target.connection);
-      ss_node_on_event (&sim->node, &d->event, sim->now_ms);
+      if (scheduled->event.kind == SS_EVENT_TARGET_CLOSED)
+        g_hash_table_remove (sim->connections,
+                             &scheduled->event.target.connection);
+      ss_node_on_event (&sim->node, &scheduled->event, sim->now_ms);
     }
-  scheduled_free (d);
+  scheduled_free (scheduled);
   execute_actions (sim);
 }
 
@@ -747,11 +756,12 @@
 step (LineSim *sim)
 {
   SsEvent tick = { .kind = SS_EVENT_TICK };
-  ScheduledEvent *d;
+  ScheduledEvent *scheduled;
 
   sim->now_ms++;
   replicate (sim);
-  while ((d = g_queue_peek_head (&sim->schedule)) && d->at_ms <= sim->now_ms)
+  while ((scheduled = g_queue_peek_head (&sim->schedule))
+         && scheduled->at_ms <= sim->now_ms)
     deliver (sim, g_queue_pop_head (&sim->schedule));
   if (ss_node_next_deadline (&sim->node) > sim->now_ms)
     return;
--- a/tests/line_sim.h
+++ b/tests/line_sim.h
@@ -21,7 +21,7 @@
   const char *name;
   SsServerRole role;
   uint64_t term;
-  uint64_t barred_term; /* replicates no lower term; 0: not barred */
+  uint64_t barred_term; /* while set, it does not replicate; 0: none */
   SsPosition received;
   SsPosition applied;
   int64_t lag_ms;           /* from receiving to applying */
@@ -47,7 +47,7 @@
   char status;          /* transaction status: I, T or E */
   uint32_t statements;  /* sent so far */
   uint32_t remaining;   /* random statements still to send */
-  bool awaiting_reply;  /* for a reply */
+  bool awaiting_reply;
   int64_t next_statement_ms;
   SsStatement statement;     /* the last one sent */
   uint64_t first_connection; /* of its transaction; 0: none ran yet */
@@ -85,8 +85,8 @@
   bool lose_next;
   /* Results. */
   GHashTable *runs;         /* label -> how often a server ran the statement */
-  uint32_t status_requests; /* status requests to all servers */
-  uint32_t primary_status_requests; /* status requests to the first server */
+  uint32_t status_requests; /* to all servers */
+  uint32_t primary_status_requests; /* to the first server */
   uint32_t violations;
   char first_violation[160];
   uint32_t served;   /* replies with the verdict RAN */
@@ -96,7 +96,8 @@
 
 /* line_sim_init: starts the core, waits until it has found the primary and
  * opens SESSIONS sessions, at most LINE_SESSIONS_MAX.  MAX_CONNECTIONS is the
- * limit of the group.
+ * limit of the group.  The first session uses the service "strict", the second
+ * one "bounded", and so on in turn.
  */
 void line_sim_init (LineSim *sim, uint32_t seed, uint32_t sessions,
                     uint32_t max_connections);
--- a/tests/property.c
+++ b/tests/property.c
@@ -14,7 +14,7 @@
 
 static int seed = 1;
 static int count = 1000;
-static int busy_ms = 8000;
+static int faults_ms = 8000;
 static int defect;
 static gboolean verbose;
 static gboolean calm;
@@ -43,10 +43,10 @@
   static const GOptionEntry entries[] = {
     { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "First seed", "N" },
     { "count", 0, 0, G_OPTION_ARG_INT, &count, "Number of histories", "N" },
-    { "busy-ms", 0, 0, G_OPTION_ARG_INT, &busy_ms,
+    { "busy-ms", 0, 0, G_OPTION_ARG_INT, &faults_ms,
       "How long faults are injected", "MS" },
     { "broken", 0, 0, G_OPTION_ARG_INT, &defect,
-      "Number of the mechanism to break", "N" },
+      "Defect to inject: a SimDefect of tests/sim.h", "N" },
     { "calm", 0, 0, G_OPTION_ARG_NONE, &calm, "No faults", NULL },
     { "verbose", 0, 0, G_OPTION_ARG_NONE, &verbose,
       "Print a report of each history", NULL },
@@ -67,7 +67,7 @@
   for (int i = 0; i < count; i++)
     {
       SimParams params
-          = { (uint32_t) (seed + i), !calm, busy_ms, (SimDefect) defect };
+          = { (uint32_t) (seed + i), !calm, faults_ms, (SimDefect) defect };
       SimReport report;
 
       sim_run (&params, &report);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -90,6 +90,9 @@
              || sim->domain_partitioned[b_domain]);
 }
 
+/* Returns the index of the node that VM names, or -1.  VM may also be a seed
+ * address, "@IP:PORT".
+ */
 static int32_t
 node_by_name (const Simulation *sim, const char *vm)
 {
@@ -533,7 +536,7 @@
 }
 
 static void
-finish_world (Simulation *sim)
+finish_simulation (Simulation *sim)
 {
   for (int32_t i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].alive)
@@ -577,15 +580,16 @@
   sim_schedule (sim, SCHEDULED_TICK, 0);
   run_until (sim, START_MS + SETTLE_MS);
   sim_callers_init (sim);
-  sim->faults_end_ms = sim->clock.now_ms + params->busy_ms;
+  sim->faults_end_ms = sim->clock.now_ms + params->faults_ms;
   if (params->faults)
     sim_schedule (sim, SCHEDULED_FAULT, 200);
+  /* The next fault event, at most 1.2 s after this time, ends all faults. */
   run_until (sim, sim->faults_end_ms + 1500);
   run_until (sim, sim->clock.now_ms + RECOVERY_MS);
   sim_callers_start_final_write (sim);
   run_until (sim, sim->clock.now_ms + RECOVERY_MS);
   sim_callers_check_rows (sim);
-  finish_world (sim);
+  finish_simulation (sim);
 }
 
 uint64_t
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -25,9 +25,9 @@
   SIM_DEFECT_NONE,
   SIM_DEFECT_HELD_POSITION,    /* servers report log entries they do not hold */
   SIM_DEFECT_FENCING,          /* a primary ignores a higher term */
-  SIM_DEFECT_IDEMPOTENCY,      /* idempotency keys are not unique */
+  SIM_DEFECT_IDEMPOTENCY,      /* servers accept repeated idempotency keys */
   SIM_DEFECT_APPLIED_POSITION, /* replicas report all entries held as applied */
-  SIM_DEFECT_RESULT,           /* some results carry a foreign value */
+  SIM_DEFECT_RESULT,           /* some results carry a wrong value */
   SIM_DEFECT_ATOMICITY,        /* servers commit each statement on its own */
   SIM_DEFECT_IDENTITY          /* callers connect under other callers' names */
 } SimDefect;
@@ -36,7 +36,7 @@
 {
   uint32_t seed;
   bool faults;
-  int64_t busy_ms; /* how long faults are injected */
+  int64_t faults_ms; /* how long faults are injected */
   SimDefect defect;
 } SimParams;
 
@@ -46,15 +46,15 @@
   uint64_t acknowledged;       /* operations that succeeded */
   uint64_t not_run;            /* failures with the verdict NOT_RUN */
   uint64_t may_have_run;       /* failures with the verdict MAY_HAVE_RUN */
-  uint64_t lost;               /* acknowledged writes that are missing */
+  uint64_t lost;               /* acknowledged writes missing at the primary */
   uint64_t doubled;            /* keys with more than one row */
   uint64_t stale;              /* reads that missed a write they must see */
   uint64_t crossed;            /* reads that returned another key's value */
   uint64_t mixed;              /* transactions applied in part */
   uint64_t ran_though_not_run; /* writes reported as not run that did run */
   uint64_t reverted;           /* returns to an older configuration version */
-  uint64_t late;               /* replies past the deadline and its margin */
-  bool recovered;              /* a write succeeded after the last fault */
+  uint64_t late;  /* replies past deadline and margin, without faults */
+  bool recovered; /* a write succeeded after the last fault */
   uint64_t promotions;
   uint64_t replica_reads;
   uint64_t actions_hash; /* of all actions of all cores, in order */
--- a/tests/sim_callers.c
+++ b/tests/sim_callers.c
@@ -96,11 +96,11 @@
 
   for (int32_t i = 0; all->len && i < 5; i++)
     {
-      SsLedgerWrite *f = g_ptr_array_index (
+      SsLedgerWrite *write = g_ptr_array_index (
           all, sim_random (sim, 0, (int32_t) all->len - 1));
 
-      if (f->acknowledged_ms <= before_ms)
-        return f;
+      if (write->acknowledged_ms <= before_ms)
+        return write;
     }
   return NULL;
 }
@@ -250,7 +250,8 @@
   return sim->closing || sim->clock.now_ms - c->op_started_ms > RETRY_LIMIT_MS;
 }
 
-/* Retries an operation that is safe to retry, or records its outcome. */
+/* Schedules a retry of the operation if that is safe, or records its outcome.
+ */
 static void
 operation_failed (Simulation *sim, SimCaller *c, SsVerdict verdict,
                   uint32_t retry_after_ms)
@@ -410,9 +411,6 @@
     }
 }
 
-/* After the last fault, one caller makes a write that has to succeed; the
- * others finish their current operation.
- */
 void
 sim_callers_start_final_write (Simulation *sim)
 {
--- a/tests/sim_internal.h
+++ b/tests/sim_internal.h
@@ -70,7 +70,7 @@
 /* A connection of a node to a server. */
 typedef struct
 {
-  uint64_t key; /* node, its incarnation and id */
+  uint64_t key; /* combines node, incarnation and id */
   int32_t node;
   uint32_t incarnation;
   uint64_t id;
@@ -163,9 +163,14 @@
 bool sim_chance (Simulation *sim, int32_t per_mille);
 /* sim_deliver: passes EVENT to the core of NODE and executes its actions. */
 void sim_deliver (Simulation *sim, int32_t node, const SsEvent *event);
-/* sim_is_partitioned: whether two failure domains cannot reach each other. */
+/* sim_is_partitioned: returns whether a network partition separates two failure
+ * domains.
+ */
 bool sim_is_partitioned (const Simulation *sim, int32_t a_domain,
                          int32_t b_domain);
+/* sim_domain_of: returns the index of the failure domain of node INDEX.  Server
+ * I is in failure domain I.
+ */
 int32_t sim_domain_of (int32_t index);
 /* sim_violation: increments COUNTER, a field of the report, and records the
  * message if it is the first violation.
@@ -176,6 +181,7 @@
 /* sim_target.c */
 void sim_targets_init (Simulation *sim);
 void sim_targets_finish (Simulation *sim);
+/* sim_target_action: executes ACTION of NODE and takes over its contents. */
 void sim_target_action (Simulation *sim, int32_t node, SsAction *action);
 void sim_target_handle (Simulation *sim, ScheduledEvent *scheduled);
 /* sim_replicate: lets replicas fetch and apply the log of their primary. */
@@ -184,12 +190,15 @@
 void sim_server_restart (Simulation *sim, int32_t server);
 /* sim_close_node_connections: closes the connections of a crashed node. */
 void sim_close_node_connections (Simulation *sim, int32_t node);
-/* sim_primary: returns the primary with the highest term, or -1. */
+/* sim_primary: returns the index of the primary with the highest term, even if
+ * it has crashed, or -1.
+ */
 int32_t sim_primary (const Simulation *sim);
 
 /* sim_platform.c */
 void sim_platform_init (Simulation *sim);
 void sim_platform_finish (Simulation *sim);
+/* sim_platform_action: executes ACTION of NODE and takes over its contents. */
 void sim_platform_action (Simulation *sim, int32_t node, SsAction *action);
 void sim_platform_handle (Simulation *sim, ScheduledEvent *scheduled);
 void sim_stored_object_free (gpointer stored);
@@ -199,7 +208,14 @@
 void sim_caller_handle (Simulation *sim, ScheduledEvent *scheduled);
 void sim_caller_action (Simulation *sim, int32_t node, const SsAction *action);
 void sim_callers_node_crashed (Simulation *sim, int32_t node);
+/* sim_callers_check_rows: compares the primary's rows with the ledger and adds
+ * the violations to the report.
+ */
 void sim_callers_check_rows (Simulation *sim);
+/* sim_callers_start_final_write: lets one caller make a write, which has to
+ * succeed now that all faults have ended; the others only finish their current
+ * operation.
+ */
 void sim_callers_start_final_write (Simulation *sim);
 
 #endif
--- a/tests/sim_target.c
+++ b/tests/sim_target.c
@@ -213,6 +213,9 @@
   free_connection (c);
 }
 
+/* Closes all connections of NODE and all connections to SERVER; -1 stands for
+ * none.
+ */
 static void
 drop_connections (Simulation *sim, int32_t node, int32_t server, bool notify)
 {
--- a/tests/test_command.c
+++ b/tests/test_command.c
@@ -90,7 +90,7 @@
 }
 
 static void
-begin (void)
+set_up (void)
 {
   SsNodeParams params = { .vm = "a",
                           .failure_domain = "d",
@@ -168,7 +168,7 @@
 static void
 invalid_commands_are_refused_at_once (void)
 {
-  begin ();
+  set_up ();
   run_command ("set service s weight = 5", false);
   expect_verdict (SS_VERDICT_NOT_RUN, "bearer token");
   run_command ("set service s weight = 0", true);
@@ -187,7 +187,7 @@
 {
   SsAction put;
 
-  begin ();
+  set_up ();
   run_command ("set service s weight = 5", true);
   CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
   CU_ASSERT (put.number == 4);
@@ -206,7 +206,7 @@
   SsAction put;
   SsAction get;
 
-  begin ();
+  set_up ();
   run_command ("set service s weight = 5", true);
   CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
   answer_call (&put, SS_PLATFORM_UNKNOWN, 0, NULL, NOW_MS);
@@ -228,7 +228,7 @@
   SsAction put;
   SsAction get;
 
-  begin ();
+  set_up ();
   run_command ("set service s weight = 5", true);
   CU_ASSERT (take_last_action (SS_ACTION_PLATFORM_PUT, &put));
   answer_call (&put, SS_PLATFORM_UNKNOWN, 0, NULL, NOW_MS);
@@ -250,7 +250,7 @@
 {
   SsAction put;
 
-  begin ();
+  set_up ();
   put_object ("target/t1", 5,
               "{\"group\":\"g\",\"ip\":\"10.0.1.1\",\"port\":1,"
               "\"failure_domain\":\"d\"}");
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -129,8 +129,8 @@
   line_sim_finish (&sim);
 }
 
-/* A server that leads a later term than the group's object has is named there
- * as the primary, without a promotion.
+/* A server that leads a higher term than the group object records becomes the
+ * group's primary without a promotion.
  */
 static void
 later_primary_is_adopted (void)
@@ -186,7 +186,7 @@
 
 /* VM "b" claimed the group and is gone; VM "c" holds a lease and does not
  * answer.  No VM can renew a lease after the first claim, so the second claim
- * waits only for the rest of the time that began with the first one.
+ * waits only for what is left of the lease time since the first one.
  */
 static void
 second_claim_waits_for_rest_of_lease_only (void)
--- a/tests/test_histories.c
+++ b/tests/test_histories.c
@@ -1,17 +1,20 @@
-/* Seeded histories of the simulated system.  Each test but the first disables
- * one safety mechanism and requires that the checks detect the violations.
+/* Seeded histories of the simulated system.  Each test but the first injects
+ * one defect and requires that the checks detect the violations.
  */
 #include "tests/unit.h"
 #include "tests/sim.h"
 
 #define FIRST_SEED 1
-#define BROKEN_SEEDS 40
-#define BUSY_MS 8000
+/* With 6 seeds, some versions of the code did not show the lost writes of an
+ * unfenced primary.
+ */
+#define SEEDS_PER_DEFECT 40
+#define FAULTS_MS 8000
 
 static void
 run (uint32_t seed, SimDefect defect, SimReport *report)
 {
-  SimParams params = { seed, true, BUSY_MS, defect };
+  SimParams params = { seed, true, FAULTS_MS, defect };
 
   sim_run (&params, report);
 }
@@ -31,16 +34,16 @@
     }
 }
 
-/* Runs histories with a mechanism broken, up to the first one in which the
- * check READ finds violations.  Returns their number.
+/* Runs histories with DEFECT up to the first one with violations, as counted by
+ * READ.  Returns their number.
  */
 static uint64_t
 count_violations (SimDefect defect, uint64_t (*read) (const SimReport *r))
 {
   uint64_t sum = 0;
 
-  for (uint32_t seed = FIRST_SEED; seed < FIRST_SEED + BROKEN_SEEDS && sum == 0;
-       seed++)
+  for (uint32_t seed = FIRST_SEED;
+       seed < FIRST_SEED + SEEDS_PER_DEFECT && sum == 0; seed++)
     {
       SimReport r;
 
@@ -99,7 +102,7 @@
 }
 
 static void
-crossed_answers_are_detected (void)
+wrong_results_are_detected (void)
 {
   CU_ASSERT (count_violations (SIM_DEFECT_RESULT, crossed) > 0);
 }
@@ -124,7 +127,7 @@
     unenforced_idempotency_keys_double_writes },
   { "false applied positions give stale reads",
     false_applied_positions_give_stale_reads },
-  { "crossed answers are detected", crossed_answers_are_detected },
+  { "wrong results are detected", wrong_results_are_detected },
   { "partial commits are detected", partial_commits_are_detected },
   { "swapped identities give stale reads",
     swapped_identities_give_stale_reads },
--- a/tests/test_line.c
+++ b/tests/test_line.c
@@ -16,7 +16,7 @@
   CU_ASSERT (sim->violations == 0);
 }
 
-/* Variables and prepared statements of a session are never visible to another.
+/* Settings and prepared statements of a session are never visible to another.
  */
 static void
 interleaved_sessions_stay_isolated (void)
@@ -38,7 +38,7 @@
       line_sim_finish (&sim);
     }
   CU_ASSERT (all == INTERLEAVINGS * 6 * 25);
-  /* Most faults fail one statement, or the rest of a transaction. */
+  /* Most faults fail only one statement or the rest of a transaction. */
   CU_ASSERT (served * 10 >= all * 8);
 }
 
@@ -135,8 +135,8 @@
   line_sim_finish (&sim);
 }
 
-/* A statement in a transaction that is finally refused leaves no connection
- * pinned to its session.
+/* A statement in a transaction that is refused after all retries leaves no
+ * connection pinned to its session.
  */
 static void
 refused_transaction_is_rolled_back (void)
@@ -278,7 +278,8 @@
   line_sim_deliver_peer_message (sim, &e);
 }
 
-/* Session 1 reads while heartbeats of VM "b" say that the platform answers it.
+/* Sends a read of session 1, delivers heartbeats of VM "b", which the platform
+ * answers, for 1.2 s and returns the verdict of the read.
  */
 static SsVerdict
 read_during_heartbeats (LineSim *sim)
@@ -293,9 +294,9 @@
   return sim->sessions[0].verdict;
 }
 
-/* Where the platform answers another VM, that VM is asked.  The servers alone
- * confirm nothing then: beyond a network partition, a promotion may have taken
- * place.
+/* If the platform answers a peer but not this VM, the peer is asked to confirm
+ * the lease.  A majority of the servers does not suffice then, as a promotion
+ * may have happened on the other side of a network partition.
  */
 static void
 peer_confirms_the_lease (void)
@@ -313,7 +314,7 @@
     }
   CU_ASSERT (sim.lease_nonce != 0);
   CU_ASSERT (read_during_heartbeats (&sim) == SS_VERDICT_NOT_RUN);
-  /* A reply for an earlier version confirms nothing either. */
+  /* A reply for an earlier version does not suffice either. */
   receive_lease_reply (&sim, version - 1);
   CU_ASSERT (read_during_heartbeats (&sim) == SS_VERDICT_NOT_RUN);
   line_sim_advance (&sim, 250);
--- a/tests/test_members.c
+++ b/tests/test_members.c
@@ -33,7 +33,7 @@
 }
 
 static void
-begin (void)
+set_up (void)
 {
   ss_members_init (&members, "a", "d1", "10.0.0.1", 1, START_MS);
 }
@@ -47,7 +47,7 @@
 static void
 vm_has_no_role_before_its_first_heartbeat (void)
 {
-  begin ();
+  set_up ();
   ss_members_add (&members, "b", "d1", "10.0.0.2", 1)->listed = true;
   update (START_MS);
   CU_ASSERT (!is_live ("b"));
@@ -60,11 +60,11 @@
 }
 
 static void
-vm_is_dead_only_if_others_miss_it_too (void)
+vm_is_dead_only_if_peers_stop_hearing_it_too (void)
 {
   int64_t later_ms = START_MS + SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 100;
 
-  begin ();
+  set_up ();
   record_heartbeat ("b", START_MS, NULL);
   record_heartbeat ("c", START_MS, "b");
   record_heartbeat ("d", START_MS, "b");
@@ -84,7 +84,7 @@
 {
   uint32_t owned_by_a = 0;
 
-  begin ();
+  set_up ();
   record_heartbeat ("b", START_MS, NULL);
   record_heartbeat ("c", START_MS, NULL);
   update (START_MS);
@@ -107,7 +107,7 @@
 static void
 vm_in_graceful_shutdown_has_no_roles (void)
 {
-  begin ();
+  set_up ();
   record_heartbeat ("b", START_MS, NULL);
   update (START_MS);
   ss_members_record_heartbeat (&members, ss_members_find (&members, "b"), true,
@@ -125,7 +125,7 @@
 static void
 silent_unlisted_vm_is_removed (void)
 {
-  begin ();
+  set_up ();
   record_heartbeat ("b", START_MS, NULL);
   update (START_MS);
   update (START_MS + SS_MEMBER_HEARTBEAT_TIMEOUT_MS);
@@ -141,7 +141,7 @@
   GPtrArray *silent = g_ptr_array_new ();
   SsMember *b;
 
-  begin ();
+  set_up ();
   b = ss_members_add (&members, "b", "d1", "10.0.0.2", 1);
   b->added_ms = START_MS;
   ss_members_collect_silent (&members, START_MS - 30000, silent);
@@ -160,7 +160,7 @@
 {
   SsMember *b;
 
-  begin ();
+  set_up ();
   members.relayed = true;
   b = ss_members_add (&members, "b", "d2", "10.0.0.2", 1);
   ss_members_record_report (&members, b, false, true, START_MS);
@@ -180,7 +180,7 @@
   static const char *const names[] = { "b", "c", "d", "e" };
   uint32_t before = 0;
 
-  begin ();
+  set_up ();
   for (uint32_t i = 0; i < G_N_ELEMENTS (names); i++)
     {
       record_heartbeat (names[i], START_MS, NULL);
@@ -206,7 +206,7 @@
   GPtrArray *relays = g_ptr_array_new ();
   const char *first;
 
-  begin ();
+  set_up ();
   for (uint32_t i = 0; i < G_N_ELEMENTS (names); i++)
     record_heartbeat (names[i], START_MS, NULL);
   update (START_MS);
@@ -228,8 +228,8 @@
 CU_TestInfo test_members[] = {
   { "vm has no role before its first heartbeat",
     vm_has_no_role_before_its_first_heartbeat },
-  { "vm is dead only if others miss it too",
-    vm_is_dead_only_if_others_miss_it_too },
+  { "vm is dead only if peers stop hearing it too",
+    vm_is_dead_only_if_peers_stop_hearing_it_too },
   { "each role has one owner", each_role_has_one_owner },
   { "vm in graceful shutdown has no roles",
     vm_in_graceful_shutdown_has_no_roles },
--- a/tests/test_position.c
+++ b/tests/test_position.c
@@ -72,9 +72,9 @@
 }
 
 static uint64_t
-floor_offset (const SsWriters *w, const char *identity, uint64_t primary)
+floor_offset (const SsWriters *w, const char *identity, uint64_t primary_offset)
 {
-  return ss_writers_floor (w, identity, at (1, primary)).offset;
+  return ss_writers_floor (w, identity, at (1, primary_offset)).offset;
 }
 
 static void
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -144,7 +144,7 @@
 }
 
 static void
-begin (void)
+set_up (void)
 {
   now_ms = START_MS;
   for (uint32_t i = 0; i < VMS; i++)
@@ -155,7 +155,7 @@
 }
 
 static void
-end (void)
+tear_down (void)
 {
   for (uint32_t i = 0; i < VMS; i++)
     ss_node_finish (&vms[i].node);
@@ -187,9 +187,9 @@
 static void
 all_vms_see_each_other_live (void)
 {
-  begin ();
+  set_up ();
   expect_live (VMS);
-  end ();
+  tear_down ();
 }
 
 /* Every VM detects that a VM has crashed, even if that was a relay. */
@@ -198,7 +198,7 @@
 {
   GPtrArray *relays = g_ptr_array_new ();
 
-  begin ();
+  set_up ();
   ss_members_relays (&vms[0].node.members, "d1", now_ms, relays);
   CU_ASSERT (relays->len == SS_MEMBERS_RELAYS);
   for (guint i = 0; i < relays->len; i++)
@@ -207,7 +207,7 @@
   vms[VMS - 1].up = false;
   advance (SETTLE_MS);
   expect_live (VMS - 3);
-  end ();
+  tear_down ();
 }
 
 /* The number of messages between failure domains does not grow with the number
@@ -218,7 +218,7 @@
 {
   uint64_t heartbeats;
 
-  begin ();
+  set_up ();
   sent = 0;
   sent_between_domains = 0;
   advance (10000);
@@ -228,7 +228,7 @@
   /* A heartbeat and a digest for each VM and relay, plus the reports. */
   CU_ASSERT (sent - sent_between_domains
              <= heartbeats * 2 * VMS * SS_MEMBERS_RELAYS);
-  end ();
+  tear_down ();
 }
 
 /* Stops the relays of the first failure domain without a graceful shutdown. */
@@ -268,10 +268,10 @@
 static void
 loss_of_relays_marks_no_other_vm_dead (void)
 {
-  uint32_t missed = 0;
+  uint32_t marked_dead = 0;
   uint32_t coordinators = 0;
 
-  begin ();
+  set_up ();
   crash_relays ();
   for (int64_t at = 0; at < SETTLE_MS; at += STEP_MS)
     {
@@ -281,16 +281,16 @@
           if (!vms[i].up)
             continue;
           if (count_live_in_own_domain (&vms[i]) < VMS / 2 - SS_MEMBERS_RELAYS)
-            missed++;
+            marked_dead++;
           if (ss_coordinator_is_self (&vms[i].node)
               && count_live (&vms[i]) < VMS - SS_MEMBERS_RELAYS)
             coordinators++;
         }
     }
-  CU_ASSERT (missed == 0);
+  CU_ASSERT (marked_dead == 0);
   CU_ASSERT (coordinators == 0);
   expect_live (VMS - SS_MEMBERS_RELAYS);
-  end ();
+  tear_down ();
 }
 
 static int
@@ -319,18 +319,18 @@
 
 /* Returns how many partitioned VMs VM, one of them, considers dead. */
 static uint32_t
-count_partitioned_missed (const Vm *vm)
+count_partitioned_dead (const Vm *vm)
 {
-  uint32_t missed = 0;
+  uint32_t marked_dead = 0;
 
   for (uint32_t i = 0; i < VMS; i++)
     {
       const SsMember *m = ss_members_find (&vm->node.members, vms[i].name);
 
       if (vms[i].partitioned)
-        missed += m && m->live ? 0 : 1;
+        marked_dead += m && m->live ? 0 : 1;
     }
-  return missed;
+  return marked_dead;
 }
 
 /* A network partition splits a failure domain.  On the side without relays, the
@@ -340,19 +340,19 @@
 static void
 partition_without_relays_keeps_its_vms (void)
 {
-  uint32_t missed = 0;
+  uint32_t marked_dead = 0;
 
-  begin ();
+  set_up ();
   partition_last_ranked (5);
   for (int64_t at = 0; at < SETTLE_MS; at += STEP_MS)
     {
       advance (STEP_MS);
       for (uint32_t i = 0; i < VMS / 2; i++)
         if (vms[i].partitioned)
-          missed += count_partitioned_missed (&vms[i]);
+          marked_dead += count_partitioned_dead (&vms[i]);
     }
-  CU_ASSERT (missed == 0);
-  end ();
+  CU_ASSERT (marked_dead == 0);
+  tear_down ();
 }
 
 /* New relays learn the VMs of other failure domains without waiting for a
@@ -364,7 +364,7 @@
   int64_t since_ms;
   int64_t bound_ms;
 
-  begin ();
+  set_up ();
   crash_relays ();
   since_ms = now_ms;
   /* The timeout of the old relays, then one heartbeat interval for each step:
@@ -376,7 +376,7 @@
   while (now_ms - since_ms < bound_ms)
     advance (STEP_MS);
   expect_live (VMS - SS_MEMBERS_RELAYS);
-  end ();
+  tear_down ();
 }
 
 /* The relays detect a silent VM after one timeout and report it to all others,
@@ -389,7 +389,7 @@
   int64_t interval_ms;
   uint32_t silent = 0;
 
-  begin ();
+  set_up ();
   interval_ms = vms[0].node.params.timing.heartbeat_ms;
   ss_members_relays (&vms[0].node.members, "d1", now_ms, relays);
   while (g_ptr_array_find_with_equal_func (relays, vms[silent].name,
@@ -402,7 +402,7 @@
    */
   advance (SS_MEMBER_HEARTBEAT_TIMEOUT_MS + 3 * interval_ms + 100);
   expect_live (VMS - 1);
-  end ();
+  tear_down ();
 }
 
 CU_TestInfo test_relay[] = {
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -22,7 +22,7 @@
 }
 
 static void
-begin (void)
+set_up (void)
 {
   SsNodeParams params = { .vm = "a",
                           .failure_domain = "d",
@@ -106,7 +106,7 @@
 {
   SsAction reply;
 
-  begin ();
+  set_up ();
   open_session ("s", NULL, &reply);
   CU_ASSERT (reply.verdict == SS_VERDICT_RAN);
   ss_action_clear (&reply);
@@ -133,12 +133,12 @@
 }
 
 static void
-what_cannot_be_served_is_refused_at_once (void)
+unservable_requests_are_refused_at_once (void)
 {
   SsAction reply;
   const char *settings[] = { "token", "x", NULL };
 
-  begin ();
+  set_up ();
   open_session ("none", NULL, &reply);
   CU_ASSERT (reply.reason == SS_REASON_NO_SERVICE);
   ss_action_clear (&reply);
@@ -154,7 +154,7 @@
 }
 
 /* Guards against a refused write whose idempotency key stays set and so applies
- * to the next statement.  Found by seed 189.
+ * to the next statement.  Found by seed 189 of ss-property.
  */
 static void
 refused_statement_clears_its_idempotency_key (void)
@@ -163,7 +163,7 @@
   const SsSession *s;
   uint64_t id = 1;
 
-  begin ();
+  set_up ();
   open_session ("s", NULL, &reply);
   ss_action_clear (&reply);
   put_object ("group/g", "{\"term\":1,\"primary\":\"t\"}");
@@ -186,7 +186,7 @@
   uint64_t id = 1;
   SsEvent lost = { .kind = SS_EVENT_PEER_LOST };
 
-  begin ();
+  set_up ();
   open_session ("s", NULL, &reply);
   ss_action_clear (&reply);
   s = g_hash_table_lookup (node.sessions, &id);
@@ -212,7 +212,7 @@
 
 /* Guards against a COMMIT that succeeds although the transaction is lost.  The
  * caller had sent no statement since the loss and had seen no error.  Found by
- * seed 327.
+ * seed 327 of ss-property.
  */
 static void
 commit_reports_an_unreported_loss (void)
@@ -245,7 +245,7 @@
   SsEvent insert = { .kind = SS_EVENT_CALLER_STATEMENT };
   SsAction reply;
 
-  begin ();
+  set_up ();
   put_object ("target/t", target);
   put_object ("target/u", target);
   put_object ("group/g", "{\"term\":1,\"primary\":\"t\"}");
@@ -268,8 +268,8 @@
 
 CU_TestInfo test_session[] = {
   { "proxy settings are set and shown", proxy_settings_are_set_and_shown },
-  { "what cannot be served is refused at once",
-    what_cannot_be_served_is_refused_at_once },
+  { "unservable requests are refused at once",
+    unservable_requests_are_refused_at_once },
   { "refused statement clears its idempotency key",
     refused_statement_clears_its_idempotency_key },
   { "lost transaction refuses statements",
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -98,8 +98,8 @@
   ss_settings_finish (&s);
 }
 
-/* The users' platform may write integers with a fraction of zero, and gives
- * addresses as IP:PORT.
+/* The platform may write integers with a fraction of zero, and gives addresses
+ * as IP:PORT.
  */
 static void
 settings_written_by_the_platform_are_accepted (void)
