--- a/src/core/choice.c
+++ b/src/core/choice.c
@@ -3,7 +3,7 @@
 
 #include "core/internal.h"
 
-/* A server whose last answer is older than this is not selected. */
+/* A server whose last response is older than this is not selected. */
 #define REACHABLE_MAX_AGE_MS 3000
 /* Load, in requests, of a server in another failure domain. */
 #define REMOTE_LOAD 4
@@ -11,7 +11,9 @@
 #define WAIT_MS_PER_LOAD 5
 
 /* Expected costs of a read whose target checks the floor, in milliseconds. */
-/* Round trip between failure domains. */
+/* Round trip between regions, longer than between failure domains of a region:
+ * a server of another failure domain may be in another region.
+ */
 #define REMOTE_MS 16
 /* Reserves capacity of the primary for writes. */
 #define PRIMARY_MS 15
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -69,7 +69,7 @@
   SsServerState state;
   int64_t state_ms;     /* the state was requested at this time or earlier */
   int64_t reachable_ms; /* when it last answered */
-  uint32_t outstanding; /* requests of this VM in flight there */
+  uint32_t outstanding; /* requests of this VM outstanding there */
   /* cached owner */
   uint64_t owner_generation;
   const char *owner;
--- a/src/core/coordinator.c
+++ b/src/core/coordinator.c
@@ -7,7 +7,7 @@
 
 #include "core/internal.h"
 
-/* A refused connection means a crash; no answer may be a short network
+/* A refused connection means a crash; no response may be a short network
  * partition.
  */
 #define REFUSED_DOWN_MS 300
@@ -272,8 +272,8 @@
          && g_strstr_len (object->value, object->value_bytes, p->operation);
 }
 
-/* After a write whose answer was lost, reads the object, as the write may have
- * taken effect.
+/* After a write whose response was lost, reads the object, as the write may
+ * have taken effect.
  */
 void
 ss_coordinator_handle_duty (SsNode *node, uint64_t call,
@@ -314,7 +314,7 @@
       ss_promote_give_up (node, p, "the platform does not run that server");
       return;
     }
-  /* A lost answer does not matter: the server's own state shows the outcome. */
+  /* A lost response does no harm: the server's own state shows the outcome. */
   ss_promote_enter (node, p, SS_PROMOTE_LEAD);
 }
 
--- a/src/core/entry.c
+++ b/src/core/entry.c
@@ -288,7 +288,7 @@
           && (!multiplexes_sessions || reason == SS_REASON_OVERLOAD
               || reason == SS_REASON_NO_MAJORITY))
       || reason == SS_REASON_TARGET_ERROR || reason == SS_REASON_CANCELLED
-      || reason == SS_REASON_DEADLINE || r->tries >= SS_REQUEST_TRIES_MAX
+      || reason == SS_REASON_DEADLINE || r->tries >= SS_REQUEST_RETRIES_MAX
       || node->now_ms >= r->deadline_ms)
     return false;
   if (ss_retry_budget_withdraw (&node->retry_budget))
@@ -307,7 +307,7 @@
                r->target, r->vm, ss_reason_name (reason), r->tries + 1,
                node->now_ms - r->started_ms);
   r->tried[r->tries++] = g_strdup (r->target);
-  ss_request_end_try (node, r);
+  ss_request_end_attempt (node, r);
   if (!r->is_read && reason == SS_REASON_NO_PRIMARY)
     ss_route_await_primary (node, r);
   else
--- a/src/core/entry.h
+++ b/src/core/entry.h
@@ -110,8 +110,8 @@
 void ss_request_retry (SsNode *node, SsRequest *r, SsReason reason);
 /* ss_request_cancel: tells the owner that the result of R is not needed. */
 void ss_request_cancel (SsNode *node, const SsRequest *r);
-/* ss_request_end_try: ends the current try of R: it is at no target now. */
-void ss_request_end_try (SsNode *node, SsRequest *r);
+/* ss_request_end_attempt: ends R's current attempt: it is at no target now. */
+void ss_request_end_attempt (SsNode *node, SsRequest *r);
 /* ss_request_begin_wait: has R wait for WAIT for at most WAIT_MS. */
 void ss_request_begin_wait (SsNode *node, SsRequest *r, SsWait wait,
                             int64_t wait_ms);
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -55,7 +55,7 @@
 #undef SS_TARGET_FAULT_ENUM
 } SsTargetFault;
 
-/* The answer of a target to one query. */
+/* A target's response to one query. */
 typedef struct
 {
   bool ok;
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -95,12 +95,12 @@
   SsRequest *request;
 } SsSession;
 
-#define SS_REQUEST_TRIES_MAX 4
+#define SS_REQUEST_RETRIES_MAX 4
 
 /* A statement of a caller, at its entry VM. */
 struct SsRequest
 {
-  uint64_t id; /* of the current try; each try has its own */
+  uint64_t id; /* of the current attempt; each attempt has its own */
   SsSession *session;
   char *label; /* the caller's id of the statement; NULL: none */
   char *sql;
@@ -126,8 +126,8 @@
   int64_t deadline_ms;
   char *vm; /* owner that it was sent to; NULL: not sent */
   char *target;
-  uint32_t tries; /* failed tries, on the targets in tried */
-  char *tried[SS_REQUEST_TRIES_MAX];
+  uint32_t tries; /* failed attempts, on the targets in tried */
+  char *tried[SS_REQUEST_RETRIES_MAX];
   char trace[33];
 };
 
@@ -319,7 +319,7 @@
   SsSessionState held;  /* session state on this connection */
   GQueue setup_queue;   /* statements to send before the job's, owned */
   char *last_setup;     /* copy of the last one sent from setup_queue */
-  bool rolls_back;      /* a ROLLBACK is in flight */
+  bool rolls_back;      /* a ROLLBACK is outstanding */
   int64_t resend_at_ms; /* when to resend the job's statement; 0: never */
   int64_t sent_ms;      /* when its last statement was sent */
 } SsConnection;
@@ -377,7 +377,7 @@
 typedef struct
 {
   char *vm;
-  uint64_t request_id; /* repeated in the answer */
+  uint64_t request_id; /* repeated in the reply */
   char **identities;   /* callers to return floors for; may be NULL */
   SsPosition held;     /* position that the log must contain; offset 0: none */
   uint64_t poll;       /* answered by this poll or a later one */
@@ -438,7 +438,7 @@
   SsPosition unreplicated;  /* highest commit not known to have a majority */
   bool replication_stalled; /* a commit waits too long: no new ones are taken */
   GQueue unconfirmed;       /* jobs that wait for a confirmed primary */
-  SsConfirmedPosition last_position; /* latest one reported by an answer */
+  SsConfirmedPosition last_position; /* latest one reported by a response */
   uint64_t replica_requests[SS_CONFIG_SERVERS_MAX]; /* outstanding, by server */
   int64_t replica_requested_ms[SS_CONFIG_SERVERS_MAX];
   SsConfirmationRound round;
@@ -506,7 +506,7 @@
 void ss_quorum_tick (SsNode *node, SsOwnedTarget *owned);
 void ss_quorum_handle_mark_ask (SsNode *node, const char *from,
                                 const Ss__Peer__MarkAsk *request);
-/* ss_quorum_handle_status: handles the response to this VM's status request
+/* ss_quorum_handle_status: handles the reply to this VM's status request
  * REQUEST_ID. */
 void ss_quorum_handle_status (SsNode *node, SsTarget *target,
                               uint64_t request_id, const SsServerState *state);
--- a/src/core/job_result.c
+++ b/src/core/job_result.c
@@ -136,9 +136,9 @@
 }
 
 /* Ends a job whose claim failed.  If the idempotency key has a record, answers
- * with the result recorded by the first try.  Without a record, a unique
- * violation is an error of the statement itself; otherwise the first try still
- * runs.
+ * with the result recorded by the first attempt.  Without a record, a unique
+ * violation is an error of the statement itself; otherwise the first attempt
+ * still runs.
  */
 static void
 end_lookup (SsNode *node, SsConnection *c, const SsTargetResult *result)
@@ -190,8 +190,8 @@
   job->wire = g_bytes_ref (result->wire);
 }
 
-/* Advances the known position of the server: an answer is more recent than the
- * last poll.
+/* Advances the known position of the server: a response is more recent than
+ * the last poll.
  */
 static void
 advance_applied (SsTarget *t, SsPosition applied)
@@ -280,7 +280,7 @@
     }
 }
 
-/* Stops waiting for a running statement.  Its answer may still arrive, so the
+/* Stops waiting for a running statement.  Its response may still arrive, so the
  * connection can't be reused; closing it ends its transaction.
  */
 void
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -15,7 +15,7 @@
 
 #include "core/internal.h"
 
-/* Renewal interval: well below SS_LEASE_MS, so that a single lost answer does
+/* Renewal interval: well below SS_LEASE_MS, so that a single lost response does
  * not let the lease expire.
  */
 #define RENEW_MS 800
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -30,7 +30,7 @@
   members->generation = 1;
   members->converged_known = false;
   members->relayed = false;
-  members->relay_answer_ms = 0;
+  members->relay_reply_ms = 0;
   members->relay_grace_until_ms = 0;
   self = ss_members_add (members, vm, failure_domain, ip, peer_port);
   self->live = true;
@@ -137,9 +137,9 @@
 }
 
 void
-ss_members_record_relay_answer (SsMembers *members, int64_t now_ms)
+ss_members_record_relay_reply (SsMembers *members, int64_t now_ms)
 {
-  members->relay_answer_ms = now_ms;
+  members->relay_reply_ms = now_ms;
 }
 
 bool
@@ -151,11 +151,11 @@
 static void
 detect_lost_relays (SsMembers *members, int64_t now_ms)
 {
-  if (!members->relay_answer_ms
-      || now_ms - members->relay_answer_ms < SS_MEMBER_REPORT_TIMEOUT_MS)
+  if (!members->relay_reply_ms
+      || now_ms - members->relay_reply_ms < SS_MEMBER_REPORT_TIMEOUT_MS)
     return;
-  members->lost_relay_answer_ms = members->relay_answer_ms;
-  members->relay_answer_ms = 0;
+  members->lost_relay_reply_ms = members->relay_reply_ms;
+  members->relay_reply_ms = 0;
   members->relay_grace_until_ms = now_ms + SS_MEMBER_RELAY_GRACE_MS;
 }
 
@@ -168,7 +168,7 @@
 {
   return ss_members_in_relay_grace (members, now_ms) && m->live
          && strcmp (m->failure_domain, members->failure_domain) == 0
-         && members->lost_relay_answer_ms - m->heard_ms
+         && members->lost_relay_reply_ms - m->heard_ms
                 >= SS_MEMBER_HEARTBEAT_TIMEOUT_MS;
 }
 
--- a/src/core/members.h
+++ b/src/core/members.h
@@ -31,7 +31,7 @@
 #define SS_MEMBERS_RELAYS 2
 /* Grace period after all relays are lost, in which a VM may know of no other.
  * It covers a heartbeat to the new relays, a report from these to the relays of
- * other failure domains, and the answers.
+ * other failure domains, and the replies.
  */
 #define SS_MEMBER_RELAY_GRACE_MS 1200
 /* A listed VM that is not live may be tried as a relay.  If it does not answer
@@ -69,8 +69,8 @@
   bool relayed;        /* too many VMs for a full mesh: relays report */
   bool converged;      /* see ss_members_is_converged */
   bool converged_known;
-  int64_t relay_answer_ms;      /* when a relay last answered; 0: relays lost */
-  int64_t lost_relay_answer_ms; /* relay_answer_ms when the relays were lost */
+  int64_t relay_reply_ms;       /* when a relay last answered; 0: relays lost */
+  int64_t lost_relay_reply_ms;  /* relay_reply_ms when the relays were lost */
   int64_t relay_grace_until_ms; /* see ss_members_in_relay_grace */
 } SsMembers;
 
@@ -121,10 +121,10 @@
 /* ss_members_record_report: records a relay's report that MEMBER is live. */
 void ss_members_record_report (SsMembers *members, SsMember *member,
                                bool leaving, bool platform_up, int64_t now_ms);
-/* ss_members_record_relay_answer: records that a relay answered this VM, or
+/* ss_members_record_relay_reply: records that a relay answered this VM, or
  * that this VM is a relay itself.
  */
-void ss_members_record_relay_answer (SsMembers *members, int64_t now_ms);
+void ss_members_record_relay_reply (SsMembers *members, int64_t now_ms);
 /* ss_members_in_relay_grace: whether the grace period after the loss of all
  * relays runs.  Members of this VM's failure domain that were known through
  * those relays keep their liveness meanwhile; the absence of others proves
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -61,7 +61,7 @@
   uint32_t left_out; /* suppressed since the last line written */
 } SsLogQuota;
 
-/* A lease request of a VM that gets no answer from the platform. */
+/* A lease request of a VM that gets no response from the platform. */
 typedef struct
 {
   char *vm;
@@ -72,7 +72,7 @@
 /* State of one watch on the platform. */
 typedef struct
 {
-  bool watching;  /* a watch request is in flight */
+  bool watching;  /* a watch request is outstanding */
   bool complete;  /* all of its objects were received once */
   int64_t due_ms; /* when the next watch request is due */
   int64_t revision;
@@ -131,17 +131,17 @@
   int64_t directory_due_ms;
   GHashTable *leases; /* group -> since when this VM's object lists a lease on
                          its primary, in ms */
-  bool vm_list_outstanding;  /* a list request for the objects vm/NAME is in
-                                flight */
+  bool vm_list_outstanding;  /* a list request for the objects vm/NAME is
+                                outstanding */
   bool isolated;             /* partitioned from most VMs and the platform */
   int64_t minority_since_ms; /* since when less than half of the other listed
                                 VMs are live; 0: at least half are */
   int64_t lease_due_ms;
-  int64_t lease_requested_ms;      /* 0: no lease request is in flight */
+  int64_t lease_requested_ms;      /* 0: no lease request is outstanding */
   uint64_t lease_nonce;            /* of the last lease request to another VM */
   int64_t lease_peer_requested_ms; /* when it was sent */
   GQueue lease_requests;           /* of SsLeaseRequest, oldest first */
-  bool vms_requested;              /* a request for vms_json is in flight */
+  bool vms_requested;              /* a request for vms_json is outstanding */
   int64_t vms_due_ms;
   GBytes *vms_json; /* the platform's last list of VMs, as JSON */
   bool platform_down;
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -94,7 +94,7 @@
 /* ss_multiplex_resend: resends the statement of C's job that was not run. */
 void ss_multiplex_resend (SsNode *node, SsConnection *c);
 /* ss_multiplex_roll_back: rolls back the transaction on C, so that C returns to
- * the pool.  ss_multiplex_rolled_back handles the target's answer.
+ * the pool.  ss_multiplex_rolled_back handles the target's response.
  */
 void ss_multiplex_roll_back (SsNode *node, SsConnection *c);
 void ss_multiplex_rolled_back (SsNode *node, SsConnection *c,
@@ -104,7 +104,7 @@
  */
 void ss_multiplex_end_transaction (SsNode *node, SsConnection *c);
 /* ss_multiplex_note_position: records the log position of the target, which
- * every answer reports.
+ * every response reports.
  */
 void ss_multiplex_note_position (SsNode *node, const SsConnection *c,
                                  const SsTargetResult *result);
--- a/src/core/parse.c
+++ b/src/core/parse.c
@@ -123,8 +123,8 @@
   if (!error && s->default_kind && *s->default_kind
       && strcmp (s->default_kind, "strict") != 0
       && ss_service_staleness (s, s->default_kind) < 0)
-    error = g_strdup ("\"default_kind\" must be \"session\", \"strict\" or a "
-                      "name in \"kinds\"");
+    error = g_strdup ("\"default_kind\" must be empty, \"session\", \"strict\" "
+                      "or a name in \"kinds\"");
   s->weight = (uint32_t) weight;
   s->acknowledge_majority
       = !acknowledge || strcmp (acknowledge, "majority") == 0;
--- a/src/core/promote.c
+++ b/src/core/promote.c
@@ -27,7 +27,7 @@
 /* A report older than this is stale. */
 #define FRESH_REPORT_MS 1500
 #define STEP_TIMEOUT_MS 4000
-/* Interval of reads after a write whose answer was lost. */
+/* Interval of reads after a write whose response was lost. */
 #define READ_RETRY_MS 200
 /* Delay of the next promotion after one has ended. */
 #define RETRY_MS 300
@@ -316,7 +316,7 @@
   start_promotion (node, p, group);
 }
 
-/* --- answers from the platform --- */
+/* --- responses from the platform --- */
 
 static void
 finish_promotion (SsNode *node, SsPromotion *p)
@@ -357,7 +357,7 @@
 
 /* Ends a promotion as the group's object has another operation.  If the
  * object's version has increased, this claim can no longer take effect: the
- * operator's answer is then "not run".
+ * reply to the operator is then "not run".
  */
 static void
 abort_superseded (SsNode *node, SsPromotion *p, const SsGroup *group)
@@ -410,7 +410,7 @@
       ss_promote_give_up (node, p, "the platform did not accept the update");
       return;
     }
-  /* Refused, or the answer was lost: a read shows whether the update took
+  /* Refused, or the response was lost: a read shows whether the update took
    * effect.
    */
   ss_promote_enter (node, p,
--- a/src/core/promotion.h
+++ b/src/core/promotion.h
@@ -26,13 +26,13 @@
  *   IDLE        none is running
  *   ADOPT       names a server that already leads a later term
  *   CLAIM       writes the claim to the group's object
- *   CLAIM_READ  reads whether a claim with a lost answer took effect
+ *   CLAIM_READ  reads whether a claim with a lost response took effect
  *   RAISE       raises the servers' terms and has leases released
  *   DUTY        writes the duty object to get a fencing token
  *   CALL        the platform is called to promote the chosen server
  *   LEAD        waits until the chosen server leads the term
  *   NAME        writes the primary's name to the group's object
- *   NAME_READ   reads whether that write, with a lost answer, took effect
+ *   NAME_READ   reads whether that write, with a lost response, took effect
  */
 #define SS_PROMOTE_STEPS(X)                                                    \
   X (IDLE, "idle")                                                             \
--- a/src/core/quorum.c
+++ b/src/core/quorum.c
@@ -2,7 +2,7 @@
  * group's primary.
  *
  * A commit is answered once a majority of the servers has replicated it.  The
- * primary's position is confirmed by a lease, or by status responses of a
+ * primary's position is confirmed by a lease, or by status replies of a
  * majority.
  */
 #include <string.h>
@@ -18,7 +18,8 @@
 #define OTHERS_POLL_AFTER_MS 300
 #define ROUND_TIMEOUT_MS 300
 /* Commits count as stalled once one has waited this long: far above a replica's
- * lag plus a round trip between failure domains.
+ * lag plus a round trip between regions, as servers of other failure domains
+ * may be in other regions.
  */
 #define STALLED_AFTER_MS 400
 /* The primary's position from a response is used without a new round up to this
@@ -438,13 +439,13 @@
   end_round (node, owned, group);
 }
 
-/* Every response comes from a poll that began after the round did.  If no
+/* Every reply comes from a poll that began after the round did.  If no
  * server of a majority reports a higher term, no later primary had acknowledged
  * anything by then.
  */
 static void
-on_round_response (SsNode *node, SsOwnedTarget *owned, const SsGroup *group,
-                   uint32_t server, const SsServerState *state)
+on_round_reply (SsNode *node, SsOwnedTarget *owned, const SsGroup *group,
+                uint32_t server, const SsServerState *state)
 {
   SsConfirmationRound *r = &owned->round;
 
@@ -495,7 +496,7 @@
           if (owned->replica_requests[j] == request_id)
             owned->replica_requests[j] = 0;
           if (owned->round.running && owned->round.request_id == request_id)
-            on_round_response (node, owned, group, j, state);
+            on_round_reply (node, owned, group, j, state);
         }
     }
 }
--- a/src/core/relay.c
+++ b/src/core/relay.c
@@ -399,7 +399,7 @@
     }
   if (is_relay)
     {
-      ss_members_record_relay_answer (&node->members, node->now_ms);
+      ss_members_record_relay_reply (&node->members, node->now_ms);
       send_reports (node);
     }
   g_ptr_array_free (relays, TRUE);
@@ -434,7 +434,7 @@
   if (!m)
     return;
   m->heard_ms = node->now_ms;
-  ss_members_record_relay_answer (&node->members, node->now_ms);
+  ss_members_record_relay_reply (&node->members, node->now_ms);
   if (digest->full)
     {
       apply_states (node, digest->vms, digest->n_vms);
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -10,7 +10,7 @@
   g_free (r->shape);
   g_free (r->vm);
   g_free (r->target);
-  for (uint32_t i = 0; i < r->tries && i < SS_REQUEST_TRIES_MAX; i++)
+  for (uint32_t i = 0; i < r->tries && i < SS_REQUEST_RETRIES_MAX; i++)
     g_free (r->tried[i]);
   g_free (r);
 }
@@ -116,7 +116,7 @@
 }
 
 void
-ss_request_end_try (SsNode *node, SsRequest *r)
+ss_request_end_attempt (SsNode *node, SsRequest *r)
 {
   SsTarget *t = r->target ? ss_config_target (&node->config, r->target) : NULL;
 
@@ -138,7 +138,7 @@
 ss_request_drop (SsNode *node, SsRequest *r)
 {
   g_hash_table_remove (node->requests, &r->id);
-  ss_request_end_try (node, r);
+  ss_request_end_attempt (node, r);
   ss_request_end_wait (node, r);
   r->session->request = NULL;
   ss_request_free (r);
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -10,7 +10,7 @@
 ss_retry_budget_deposit (SsRetryBudget *budget)
 {
   if (budget->tenths < SS_RETRY_BUDGET_MAX)
-    budget->tenths += SS_RETRY_BUDGET_PER_TRY;
+    budget->tenths += SS_RETRY_BUDGET_PER_ATTEMPT;
 }
 
 bool
--- a/src/core/target_monitor.c
+++ b/src/core/target_monitor.c
@@ -61,7 +61,7 @@
                                          ss_pool_capacity (node, owned));
 }
 
-/* Sends the target's state to VM, as the answer to its status request
+/* Sends the target's state to VM, as the reply to its status request
  * REQUEST_ID (0: unsolicited, to a subscriber).
  */
 static void
@@ -291,7 +291,7 @@
   SsServerState state = { 0 };
   SsGroup *group = ss_owned_group (node, owned);
 
-  /* Any answer, also an error, shows that the server is reachable. */
+  /* Any response, also an error, shows that the server is reachable. */
   t->reachable_ms = node->now_ms;
   if (!result->ok
       || !node->dialect->read_status (node->dialect, result->row,
@@ -370,7 +370,7 @@
 
   if (s->reachable)
     ss_node_log (node, SS_EVENT_LOG_TARGET_DOWN, owned->target->name, "%s",
-                 refused ? "connection refused" : "no answer");
+                 refused ? "connection refused" : "no response");
   s->reachable = false;
   s->refused = refused;
   owned->target->state_ms = node->now_ms;
--- a/src/core/timing.h
+++ b/src/core/timing.h
@@ -11,13 +11,13 @@
 
 /* X (field, default, minimum, maximum), in milliseconds */
 #define SS_TIMINGS(X)                                                          \
-  X (tick_asked_ms, 1, 1, 1000)      /* while a status request is open */      \
+  X (tick_asked_ms, 1, 1, 1000)      /* with a status request outstanding */   \
   X (tick_busy_ms, 5, 1, 1000)       /* while requests are in progress */      \
   X (tick_idle_ms, 20, 1, 1000)      /* otherwise */                           \
   X (heartbeat_ms, 200, 20, 10000)   /* heartbeats to other VMs */             \
   X (poll_idle_ms, 50, 1, 60000)     /* status polls of a target */            \
   X (poll_lagging_ms, 10, 1, 60000)  /* of one that has log left to apply */   \
-  X (poll_asked_ms, 1, 1, 1000)      /* of one with an open status request */  \
+  X (poll_asked_ms, 1, 1, 1000)      /* of one with such a request */          \
   X (silence_ms, 60000, 1, 60000)    /* silence after which to poll at once */ \
   X (unreachable_ms, 1200, 1, 60000) /* silence that counts as unreachable */  \
   X (report_idle_ms, 250, 1, 60000)  /* status reports to other VMs */         \
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -23,7 +23,7 @@
   EXIT_REFUSED = 1,
   EXIT_USAGE = 2,
   EXIT_MAY_HAVE_RUN = 3,
-  EXIT_NO_ANSWER = 4
+  EXIT_NO_RESPONSE = 4
 } ExitCode;
 
 static char **addresses;
@@ -183,7 +183,7 @@
     puts ("(no rows)");
   json_array_foreach (silent, i, vm)
   {
-    printf ("no answer from vm %s\n", json_string_value (vm));
+    printf ("no reply from vm %s\n", json_string_value (vm));
   }
   if (!message)
     return;
@@ -199,7 +199,7 @@
 exit_code (const Response *r)
 {
   if (!r->sent)
-    return EXIT_NO_ANSWER;
+    return EXIT_NO_RESPONSE;
   if (r->status == 200)
     return EXIT_DONE;
   if (r->status == 409)
@@ -213,10 +213,10 @@
 static ExitCode
 run_once (const char *command, Response *response)
 {
-  ExitCode code = EXIT_NO_ANSWER;
+  ExitCode code = EXIT_NO_RESPONSE;
 
   response->body = NULL;
-  for (uint32_t i = 0; addresses[i] && code == EXIT_NO_ANSWER; i++)
+  for (uint32_t i = 0; addresses[i] && code == EXIT_NO_RESPONSE; i++)
     {
       post_command (addresses[i], command, response);
       code = exit_code (response);
@@ -289,10 +289,10 @@
 
   if (r.body)
     print_response (&r);
-  else if (code == EXIT_NO_ANSWER)
+  else if (code == EXIT_NO_RESPONSE)
     fprintf (stderr, "sapphirectl: no vm answers\n");
   else
-    fprintf (stderr, "sapphirectl: the answer was lost; the command may "
+    fprintf (stderr, "sapphirectl: the response was lost; the command may "
                      "have run\n");
   json_decref (r.body);
   if (code == EXIT_DONE && wait_until_done)
--- a/src/kernel/callers.c
+++ b/src/kernel/callers.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 
 #define SWEEP_INTERVAL_S 1.0
-/* Time for the peer to read the last response and close the connection. */
+/* Time for the peer to read the last reply and close the connection. */
 #define CLOSE_TIMEOUT_MS 2000
 
 static int64_t
--- a/src/kernel/callers.h
+++ b/src/kernel/callers.h
@@ -1,7 +1,7 @@
 /* callers: the connections of callers, independent of their protocol.
  *
  * Accepts connections, notifies the core when one closes, and ends those that
- * exceed a timeout.  The plug-in parses requests and writes responses.
+ * exceed a timeout.  The plug-in parses requests and writes replies.
  */
 #ifndef SS_CALLERS_H
 #define SS_CALLERS_H
--- a/src/kernel/counters.h
+++ b/src/kernel/counters.h
@@ -9,9 +9,10 @@
 #include <stdint.h>
 
 /* X (id, name, help).  The help texts are part of /metrics.  In them,
- * "tried again inside" is a retry by the entry VM, a "crossed" answer belongs
- * to an earlier try or request, the "floor" is the session's minimum position,
- * and a "record" is the result stored under an idempotency key.
+ * "tried again inside" is a retry by the entry VM, a "crossed answer" is a
+ * reply or response to an earlier attempt or request, the "floor" is the
+ * session's minimum position, and a "record" is the result stored under an
+ * idempotency key.
  */
 #define SS_COUNTERS(X)                                                         \
   X (CALLERS, "callers", "caller connections opened")                          \
--- a/src/kernel/httpc.c
+++ b/src/kernel/httpc.c
@@ -27,7 +27,7 @@
   curl_multi_remove_handle (client->multi, call->easy);
   curl_easy_cleanup (call->easy);
   curl_slist_free_all (call->headers);
-  g_byte_array_free (call->answer, TRUE);
+  g_byte_array_free (call->response, TRUE);
   g_free (call->body);
   if (call->on_free)
     call->on_free (call);
@@ -153,9 +153,9 @@
 {
   SsHttpCall *call = user;
 
-  if (call->answer->len + size * count > SS_HTTPC_RESPONSE_MAX_BYTES)
+  if (call->response->len + size * count > SS_HTTPC_RESPONSE_MAX_BYTES)
     return 0;
-  g_byte_array_append (call->answer, (const uint8_t *) data,
+  g_byte_array_append (call->response, (const uint8_t *) data,
                        (guint) (size * count));
   return size * count;
 }
@@ -188,7 +188,7 @@
 
   call->client = client;
   call->easy = easy;
-  call->answer = g_byte_array_new ();
+  call->response = g_byte_array_new ();
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_PRIVATE, call);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, append_response);
--- a/src/kernel/httpc.h
+++ b/src/kernel/httpc.h
@@ -15,7 +15,7 @@
   struct ev_loop *loop;
   CURLM *multi;
   ev_timer timer;
-  GHashTable *calls;     /* set of the active SsHttpCalls */
+  GHashTable *calls;     /* set of SsHttpCall, the outstanding calls */
   const char *source_ip; /* borrowed; NULL: any */
 } SsHttpc;
 
@@ -39,8 +39,8 @@
   SsHttpc *client;
   CURL *easy;
   struct curl_slist *headers;
-  GByteArray *answer; /* body of the response */
-  char *body;         /* of the request */
+  GByteArray *response; /* body of the response */
+  char *body;           /* of the request */
   SsHttpResult result;
   int32_t status; /* HTTP status; 0: no response */
   void (*on_done) (SsHttpCall *call);
--- a/src/kernel/httpd.c
+++ b/src/kernel/httpd.c
@@ -57,17 +57,17 @@
 }
 
 static enum MHD_Result
-queue_reply (SsHttpRequest *r)
+queue_response (SsHttpRequest *r)
 {
   struct MHD_Response *response;
   enum MHD_Result result;
 
-  if (r->reply_status == 0)
+  if (r->response_status == 0)
     return MHD_NO;
   response = MHD_create_response_from_buffer (
-      strlen (r->reply_body), r->reply_body, MHD_RESPMEM_MUST_COPY);
-  MHD_add_response_header (response, "Content-Type", r->reply_type);
-  result = MHD_queue_response (r->connection, (unsigned) r->reply_status,
+      strlen (r->response_body), r->response_body, MHD_RESPMEM_MUST_COPY);
+  MHD_add_response_header (response, "Content-Type", r->response_type);
+  result = MHD_queue_response (r->connection, (unsigned) r->response_status,
                                response);
   MHD_destroy_response (response);
   return result;
@@ -88,7 +88,7 @@
       return MHD_YES;
     }
   if (r->replied)
-    return queue_reply (r);
+    return queue_response (r);
   if (*data_bytes)
     {
       if (r->body->len + *data_bytes > SS_HTTPD_BODY_MAX_BYTES)
@@ -100,7 +100,7 @@
     }
   h->klass->handle (h, r);
   if (r->replied)
-    return queue_reply (r);
+    return queue_response (r);
   r->suspended = true;
   MHD_suspend_connection (connection);
   return MHD_YES;
@@ -120,7 +120,7 @@
   if (!r->replied && h->klass->on_disconnect)
     h->klass->on_disconnect (h, r);
   g_byte_array_free (r->body, TRUE);
-  g_free (r->reply_body);
+  g_free (r->response_body);
   g_free (r->method);
   g_free (r->path);
   g_free (r);
@@ -174,9 +174,9 @@
   SsHttpd *h = request->httpd;
 
   request->replied = true;
-  request->reply_status = status;
-  request->reply_type = type;
-  request->reply_body = g_strdup (body ? body : "");
+  request->response_status = status;
+  request->response_type = type;
+  request->response_body = g_strdup (body ? body : "");
   if (!request->suspended)
     return;
   request->suspended = false;
--- a/src/kernel/httpd.h
+++ b/src/kernel/httpd.h
@@ -42,9 +42,9 @@
   char *path;
   GByteArray *body;
   char client_ip[INET_ADDRSTRLEN];
-  int32_t reply_status; /* 0: close the connection without a reply */
-  char *reply_body;
-  const char *reply_type; /* content type */
+  int32_t response_status; /* 0: close the connection without a response */
+  char *response_body;
+  const char *response_type; /* content type */
   bool replied;
   bool suspended;
   void *data; /* for use by the handler */
@@ -57,7 +57,7 @@
 void ss_httpd_finish (SsHttpd *httpd);
 
 /* ss_http_reply: replies to REQUEST; STATUS 0 closes the connection without a
- * reply.  TYPE is the content type, a static string; BODY may be NULL.
+ * response.  TYPE is the content type, a static string; BODY may be NULL.
  */
 void ss_http_reply (SsHttpRequest *request, int32_t status, const char *type,
                     const char *body);
--- a/src/kernel/log.h
+++ b/src/kernel/log.h
@@ -31,7 +31,7 @@
   X (STARTED, 100, INFO, "daemon started")                                     \
   X (STOPPING, 101, INFO, "graceful shutdown started")                         \
   X (STOPPED, 102, INFO, "daemon stopped")                                     \
-  X (READY, 103, INFO, "configuration active, serving callers")                \
+  X (READY, 103, INFO, "configuration in force, serving callers")              \
   X (PAUSED, 104, WARNING, "this vm was paused")                               \
   X (RELOADED, 105, INFO, "settings reloaded")                                 \
   X (RELOAD_REFUSED, 106, ERROR,                                               \
--- a/src/kernel/plugin.c
+++ b/src/kernel/plugin.c
@@ -4,7 +4,7 @@
 
 #define TICK_MIN_S 0.001
 /* Share of vm.grace_s, the time until a stop is forced, that bounds a graceful
- * shutdown; the rest is left for the last responses.
+ * shutdown; the rest is left for the last replies.
  */
 #define SHUTDOWN_GRACE_SHARE 0.75
 
--- a/src/kernel/verdict.h
+++ b/src/kernel/verdict.h
@@ -28,7 +28,7 @@
   X (NO_PRIMARY, "no_primary", "57P03", "no primary is serving")               \
   X (NO_REPLICA, "no_replica", "57P03", "no target is fresh enough")           \
   X (NO_MARK, "no_mark", "57P03", "the primary's position is not confirmed")   \
-  X (NO_CONFIG, "no_config", "57P03", "no configuration is active yet")        \
+  X (NO_CONFIG, "no_config", "57P03", "no configuration is in force yet")      \
   X (NOT_OWNER, "not_owner", "57P03", "this vm does not own the target")       \
   X (NO_MAJORITY, "no_majority", "57P03",                                      \
      "commits are not replicated to a majority of the servers")                \
--- a/src/plugins/peer.c
+++ b/src/plugins/peer.c
@@ -230,7 +230,7 @@
     start_connect (out);
   if (!out->open || ss_stream_output (&out->stream)->len > OUTPUT_MAX_BYTES)
     {
-      /* A caller may wait for the answer, so the loss is reported. */
+      /* A caller may wait for the reply, so the loss is reported. */
       if (!a->is_control)
         report_lost (a->name);
       return;
--- a/src/plugins/platform_http.c
+++ b/src/plugins/platform_http.c
@@ -32,7 +32,7 @@
   g_free (((Call *) http)->key);
 }
 
-/* --- answers --- */
+/* --- responses --- */
 
 /* Reads OUT from {"key", "version", "value"}; *TEXT owns the value and is to be
  * freed with free.  Returns false if the key or the value is missing.
@@ -109,8 +109,8 @@
 
   if (outcome == SS_PLATFORM_DONE)
     {
-      e.platform_vms.json = (const char *) call->http.answer->data;
-      e.platform_vms.json_bytes = call->http.answer->len;
+      e.platform_vms.json = (const char *) call->http.response->data;
+      e.platform_vms.json_bytes = call->http.response->len;
     }
   ss_runtime_event (platform.runtime, &e);
 }
@@ -138,8 +138,8 @@
 {
   Call *call = (Call *) http;
   SsPlatformOutcome outcome = ss_http_outcome (http);
-  json_t *json = json_loadb ((const char *) http->answer->data,
-                             http->answer->len, JSON_DECODE_ANY, NULL);
+  json_t *json = json_loadb ((const char *) http->response->data,
+                             http->response->len, JSON_DECODE_ANY, NULL);
 
   if (outcome == SS_PLATFORM_DONE && !json)
     outcome = SS_PLATFORM_UNKNOWN;
--- a/src/plugins/pqtarget.c
+++ b/src/plugins/pqtarget.c
@@ -18,7 +18,7 @@
   ev_io io;
   bool ready;
   bool busy;
-  /* Of the answer that is being read. */
+  /* Of the response that is being read. */
   uint32_t results; /* number received so far */
   uint32_t skip_results;
   bool has_error;
@@ -64,7 +64,7 @@
   ev_io_start (targets.runtime->loop, &t->io);
 }
 
-/* --- answers --- */
+/* --- responses --- */
 
 static void
 put_error (TargetConnection *t, const PGresult *r)
@@ -207,7 +207,7 @@
 }
 
 static void
-read_answer (TargetConnection *t)
+read_response (TargetConnection *t)
 {
   PGresult *r;
 
@@ -280,7 +280,7 @@
   if (events & EV_WRITE)
     flush (t);
   if (events & EV_READ)
-    read_answer (t);
+    read_response (t);
 }
 
 /* --- actions --- */
