--- a/src/core/admin.c
+++ b/src/core/admin.c
@@ -283,9 +283,9 @@
                         "the platform does not show the change", o->version);
       return;
     }
-  message = g_strdup_printf (
-      "conflict: the platform has version %" G_GINT64_FORMAT ": %.*s",
-      object->version, (int) object->value_bytes, object->value);
+  message = g_strdup_printf ("conflict: version %" G_GINT64_FORMAT " won: %.*s",
+                             object->version, (int) object->value_bytes,
+                             object->value);
   ss_operation_end (node, o, SS_VERDICT_NOT_RUN, message, object->version);
   g_free (message);
 }
