--- a/proto/peer.pb-c.h
+++ b/proto/peer.pb-c.h
@@ -422,7 +422,7 @@
 
 
 /*
- * Subscribes to status reports of targets.  The subscription expires unless it
+ * Subscribes to state reports of targets.  The subscription expires unless it
  * is renewed.
  */
 struct  Ss__Peer__Subscribe
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -57,7 +57,7 @@
 {
   SS_WAIT_NONE,
   SS_WAIT_CONFIRMED, /* a confirmed position of the primary */
-  SS_WAIT_STATUS,    /* the first status report of the group's servers */
+  SS_WAIT_STATUS,    /* the first state report of the group's servers */
   SS_WAIT_PRIMARY    /* a usable primary, during a failover */
 } SsWait;
 
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -103,7 +103,7 @@
   GHashTable *sessions;   /* id -> SsSession */
   GHashTable *requests;   /* id -> SsRequest */
   uint64_t next_request;
-  uint32_t status_waiters;    /* requests waiting for a first status report */
+  uint32_t status_waiters;    /* requests waiting for a first state report */
   GTree *confirmed_positions; /* group -> SsConfirmedPositions */
 
   GTree *owned;            /* target -> SsOwnedTarget */
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -140,7 +140,7 @@
   return true;
 }
 
-/* Has R wait for the first status report of T, which follows the subscription:
+/* Has R wait for the first state report of T, which follows the subscription:
  * no server is selected before it.  Returns false if T is NULL or has reported,
  * or if R has waited for STATUS_WAIT_MS.
  */
--- a/src/core/timing.h
+++ b/src/core/timing.h
@@ -20,7 +20,7 @@
   X (poll_asked_ms, 1, 1, 1000)      /* of one with such a request */          \
   X (silence_ms, 60000, 1, 60000)    /* silence after which to poll at once */ \
   X (unreachable_ms, 1200, 1, 60000) /* silence that counts as unreachable */  \
-  X (report_idle_ms, 250, 1, 60000)  /* status reports to other VMs */         \
+  X (report_idle_ms, 250, 1, 60000)  /* state reports to other VMs */          \
   X (report_min_ms, 10, 1, 60000)    /* of a target whose state changed */
 
 typedef struct
