--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# sapphirestair: one Makefile for everything.
+# sapphirestair: builds, tests and checks all programs.
 B = build
 PKGS = glib-2.0 jansson libcurl libmicrohttpd libpq libprotobuf-c libxxhash
 CFLAGS ?= -O2 -g
@@ -40,7 +40,7 @@
 all: packages
 	@$(MAKE) --no-print-directory $(PROGRAMS)
 
-# Installs by name what is missing; does nothing where all is there.
+# Installs missing packages.
 packages:
 	@sh scripts/install-packages.sh
 
--- a/bench/acknowledge.sh
+++ b/bench/acknowledge.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# What waiting for a majority costs against acknowledgement by the primary
-# alone, in one run: three servers in three failure domains, no lag.
+# Compares commits replicated to a majority with commits acknowledged by the
+# primary alone.  Both modes alternate in one run with three servers in three
+# failure domains and no replication lag.
 set -eu
 cd "$(dirname "$0")/.."
 file=$(mktemp)
--- a/bench/config.sh
+++ b/bench/config.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Time until a change of configuration is in force on every VM (10 changes by
-# sapphirectl), and memory for 1000 and 2000 further services.
+# Measures the time until a configuration change is in force on every VM (10
+# changes by sapphirectl), and the memory for 1000 and 2000 additional
+# services.
 set -eu
 cd "$(dirname "$0")/.."
 file=$(mktemp)
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Control traffic and processor time of idle VMs at 2, 4 and 8 VMs (one, two and
-# four failure domains), and with callers: the slopes for docs/CAPACITY.md.
+# Measures control traffic, platform calls, CPU time and memory of one idle VM
+# with 2 to 12 VMs in one to three failure domains and 1 to 9 servers.
+# The slopes in docs/CAPACITY.md come from these figures.
 set -eu
 cd "$(dirname "$0")/.."
 file=$(mktemp)
--- a/bench/days.sh
+++ b/bench/days.sh
@@ -1,13 +1,16 @@
-# Plays days and tells of each in one line; read by variants.sh and kinds.sh.
+# Shell functions that run days and print one line for each; sourced by
+# variants.sh and kinds.sh.  FLEETBENCH is the program that runs a day, a TOML
+# file of load and faults, on a site, a TOML file that describes a deployment.
 
 die () {
   echo "$(basename "$0"): $*" >&2
   exit 2
 }
 
-# days_check SITE DIR: whether a script's own arguments can be used.
+# days_check SITE DIR: exits with 2 unless FLEETBENCH is set, SITE can be read
+# and DIR is outside of the repository; creates DIR.
 days_check () {
-  [ -n "${FLEETBENCH:-}" ] || die "FLEETBENCH names no program"
+  [ -n "${FLEETBENCH:-}" ] || die "FLEETBENCH is not set to a program"
   [ -r "$1" ] || die "$1 can't be read"
   case $(realpath -m "$2")/ in
     "$(git rev-parse --show-toplevel)"/*) die "$2 is in the repository" ;;
@@ -19,8 +22,8 @@
   printf '%-21s %7s %7s %s\n' "$1" worth served 'broken rules'
 }
 
-# day_row NAME SITE DAY LOG: fails if a rule was broken, a process ended of
-# itself or the day was not played.
+# day_row NAME SITE DAY LOG: runs DAY on SITE and prints its result.  Fails if
+# a rule was broken, a process exited by itself or the day did not run.
 day_row () {
   "$FLEETBENCH" run "$2" "$3" --no-cpu \
     --why "$1 on $(basename "$2")" > "$4" 2>&1 || true
--- a/bench/deploy.c
+++ b/bench/deploy.c
@@ -64,8 +64,8 @@
     g_ptr_array_add (child_argv, argv[i]);
   g_ptr_array_add (child_argv, NULL);
   ok = g_spawn_async (NULL, (char **) child_argv->pdata, NULL,
-                      G_SPAWN_DO_NOT_REAP_CHILD, set_parent_death_signal, NULL, &child,
-                      NULL);
+                      G_SPAWN_DO_NOT_REAP_CHILD, set_parent_death_signal, NULL,
+                      &child, NULL);
   *pid = child;
   g_ptr_array_free (child_argv, TRUE);
   g_free (command);
@@ -340,9 +340,9 @@
       "[peers]\nseeds = \"%s.%d:%d %s.%d:%d\"\n",
       v->name, v->failure_domain, v->ip, advertised, SS_DEPLOY_CALLER_PORT,
       SS_DEPLOY_PEER_PORT, SS_DEPLOY_ADMIN_PORT, d->platform.ip,
-      SS_DEPLOY_PLATFORM_PORT, d->directory, d->ip_prefix, FIRST_ADVERTISED_HOST,
-      SS_DEPLOY_PEER_PORT, d->ip_prefix, FIRST_ADVERTISED_HOST + 1,
-      SS_DEPLOY_PEER_PORT);
+      SS_DEPLOY_PLATFORM_PORT, d->directory, d->ip_prefix,
+      FIRST_ADVERTISED_HOST, SS_DEPLOY_PEER_PORT, d->ip_prefix,
+      FIRST_ADVERTISED_HOST + 1, SS_DEPLOY_PEER_PORT);
   *path = g_strdup_printf ("%s/%s.toml", d->directory, v->name);
   ok = g_file_set_contents (*path, text, -1, NULL);
   g_free (text);
@@ -364,8 +364,8 @@
   return ok;
 }
 
-/* The relay through which the vms reach each other, so that they can be cut
- * off: it tells them apart by their addresses.
+/* Starts the relay that connects the VMs, so that partitions can be simulated.
+ * Each VM has an advertised address at the relay, which identifies it.
  */
 static bool
 start_network (SsDeploy *d)
@@ -374,7 +374,8 @@
   bool ok;
 
   g_ptr_array_add (argv, ss_deploy_program (d, "ss-standin-network"));
-  g_ptr_array_add (argv, g_strdup_printf ("%s.%d", d->ip_prefix, PLATFORM_HOST));
+  g_ptr_array_add (argv,
+                   g_strdup_printf ("%s.%d", d->ip_prefix, PLATFORM_HOST));
   g_ptr_array_add (argv, g_strdup_printf ("%d", SS_DEPLOY_PLATFORM_PORT + 1));
   for (uint32_t i = 0; i < d->vm_count; i++)
     {
@@ -432,7 +433,7 @@
 
 static void
 init_processes (SsDeploy *d, const char *domains, uint32_t vms_per_domain,
-       uint32_t servers)
+                uint32_t servers)
 {
   char **names = g_strsplit (domains, ",", SS_DEPLOY_DOMAINS_MAX);
 
@@ -458,7 +459,8 @@
       g_snprintf (t->name, sizeof t->name, "%s-%u", d->group, i + 1);
       g_strlcpy (t->failure_domain, d->domains[i % d->domain_count],
                  sizeof t->failure_domain);
-      g_snprintf (t->ip, sizeof t->ip, "%s.%u", d->ip_prefix, FIRST_TARGET_HOST + i);
+      g_snprintf (t->ip, sizeof t->ip, "%s.%u", d->ip_prefix,
+                  FIRST_TARGET_HOST + i);
     }
   g_snprintf (d->platform.ip, sizeof d->platform.ip, "%s.%d", d->ip_prefix,
               PLATFORM_HOST);
--- a/bench/deploy_control.c
+++ b/bench/deploy_control.c
@@ -6,7 +6,6 @@
 
 #include "bench/deploy.h"
 
-/* Runs sapphirectl at one vm; its exit code, or -1. */
 int
 ss_deploy_ctl (SsDeploy *deploy, uint32_t vm, const char *command,
                char **output)
@@ -73,7 +72,8 @@
 }
 
 bool
-ss_deploy_control_target (const SsDeployProcess *target, const char *name, int64_t value)
+ss_deploy_control_target (const SsDeployProcess *target, const char *name,
+                          int64_t value)
 {
   char *sql = g_strdup_printf (
       "SELECT sapphirestair_control('%s', %" G_GINT64_FORMAT ")", name, value);
@@ -124,7 +124,7 @@
   return best;
 }
 
-/* Posts JSON to PATH of the network between the vms. */
+/* Posts JSON to PATH of ss-standin-network. */
 static bool
 post_network (SsDeploy *deploy, const char *path, const char *json)
 {
@@ -152,7 +152,8 @@
 }
 
 bool
-ss_deploy_partition_domain (SsDeploy *deploy, const char *domain, bool partitioned)
+ss_deploy_partition_domain (SsDeploy *deploy, const char *domain,
+                            bool partitioned)
 {
   GString *json = g_string_new ("{\"cut_ips\":[");
   bool first = true;
--- a/bench/failover.sh
+++ b/bench/failover.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Failover gap over RUNS runs each of a crash, a freeze and a cut of the
-# primary, PARALLEL at a time; then a primary that is slow for 1 s, which must
-# not be replaced.
+# Measures the failover gap over RUNS runs each of a crash, a freeze and a
+# network partition of the primary, PARALLEL at a time.  Then delays each
+# statement at the primary by 1 s for 4 s, which must not cause a promotion.
 set -eu
 cd "$(dirname "$0")/.."
 RUNS=${RUNS:-20}
--- a/bench/kinds.sh
+++ b/bench/kinds.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# Plays every kind of trouble while a primary is changed, and again after it.
+# Runs a day for each kind of fault: once during a failover and again after it.
 #
 # usage: FLEETBENCH=PROGRAM bench/kinds.sh SITE.toml DIR [KIND]...
 #
 # The days are written into DIR, which has to be outside of the repository.
 # Prints a line for each kind: worth, served share, broken rules.  Ends with 1
-# if a rule was broken or a day could not be played.
+# if a rule was broken or a day did not run.
 set -eu
 
 . "$(dirname "$0")/days.sh"
@@ -16,7 +16,8 @@
 dir=$2
 shift 2
 
-# Name, where it is listed, entry: the name is the kind and how it comes.
+# One fault per line: name, the list of the day it goes into (faults or plan),
+# and its entry there.  The name is the kind with its variant.
 kinds () {
   cat <<'EOF'
 burst plan kind = "burst", x = 3.0
@@ -58,7 +59,8 @@
 EOF
 }
 
-# The first one meets the promotion, the second the old primary's return.
+# The primary crashes at 6 s and returns at 14 s.  The fault occurs during the
+# promotion and again as the old primary rejoins.
 write_day () {
   entry=$3
   {
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -50,7 +50,7 @@
 void
 ss_ledger_write_failed (SsLedger *ledger, int64_t sent_ms)
 {
-  /* While others were acknowledged, writes could be accepted. */
+  /* The outage begins no earlier than the last acknowledged write. */
   if (!ledger->failing_since_ms)
     ledger->failing_since_ms = MAX (sent_ms, ledger->last_acknowledged_ms);
 }
--- a/bench/ledger.h
+++ b/bench/ledger.h
@@ -1,6 +1,7 @@
-/* ledger: the load tool's own record of what callers were told.
+/* ledger: records the outcome of each write as reported to the caller.
  *
- * After a run it is compared with the targets' contents.
+ * After a run the record is compared with the contents of the primary, which
+ * shows lost, duplicated and partial writes.
  */
 #ifndef SS_LEDGER_H
 #define SS_LEDGER_H
@@ -17,19 +18,19 @@
   SS_FATE_UNKNOWN
 } SsFate;
 
-/* One write, with its own key as its value. */
+/* One write.  The row's value is the same as its key. */
 typedef struct
 {
   char key[40];
-  char partner[40]; /* the transaction's other row; empty: none */
+  char partner[40]; /* key of the transaction's second row; empty: none */
   SsFate fate;
   int64_t acknowledged_ms;
 } SsFiling;
 
 typedef struct
 {
-  GPtrArray *writes;      /* of SsFiling */
-  GPtrArray *acknowledged; /* in order; borrowed */
+  GPtrArray *writes;       /* of SsFiling */
+  GPtrArray *acknowledged; /* in order of acknowledgement; borrowed */
 
   uint64_t statements;
   uint64_t acknowledged_ops;
@@ -37,38 +38,51 @@
   uint64_t may_have_run;
   uint64_t refused_connections;
   uint64_t reads;
-  uint64_t stale;
-  uint64_t crossed;
-  uint64_t read_doubled;
-  uint64_t lost;
-  uint64_t doubled;
-  uint64_t mixed;
-  uint64_t ran_though_not_run;
+  uint64_t stale;              /* reads without a row they had to return */
+  uint64_t crossed;            /* reads that returned another key's value */
+  uint64_t read_doubled;       /* reads that returned several rows for a key */
+  uint64_t lost;               /* acknowledged, but not at the primary */
+  uint64_t doubled;            /* several rows with the same key */
+  uint64_t mixed;              /* one row of a transaction without the other */
+  uint64_t ran_though_not_run; /* at the primary despite verdict not_run */
   GArray *latencies_us;
-  GHashTable *reasons; /* what failures gave as reason -> their number */
+  GHashTable *reasons; /* reason of a failure -> count */
 
-  int64_t failing_since_ms; /* first write that failed; 0: none */
+  int64_t failing_since_ms; /* start of the current outage; 0: none */
   int64_t last_acknowledged_ms;
-  int64_t failover_gap_ms;
+  int64_t failover_gap_ms; /* longest outage */
 } SsLedger;
 
 void ss_ledger_init (SsLedger *ledger);
 void ss_ledger_finish (SsLedger *ledger);
 
-/* ss_ledger_add: a write with a new key; owned by the ledger. */
+/* ss_ledger_add: records a new write as pending.  PARTNER may be NULL.  The
+ * ledger owns the result.
+ */
 SsFiling *ss_ledger_add (SsLedger *ledger, const char *key,
                          const char *partner);
+/* ss_ledger_acknowledge: marks WRITE as acknowledged and ends an outage of
+ * writes.
+ */
 void ss_ledger_acknowledge (SsLedger *ledger, SsFiling *write, int64_t now_ms);
-/* ss_ledger_write_failed: a write sent at SENT_MS could not be accepted. */
+/* ss_ledger_write_failed: records that a write sent at SENT_MS failed.  The
+ * first failure since the last acknowledgement begins an outage.
+ */
 void ss_ledger_write_failed (SsLedger *ledger, int64_t sent_ms);
 
-/* ss_ledger_count_reason: counts a failure by the reason in its DETAIL. */
+/* ss_ledger_count_reason: counts a failure by the reason=... in its DETAIL, or
+ * as "other".
+ */
 void ss_ledger_count_reason (SsLedger *ledger, const char *detail);
 
-/* ss_ledger_compare: COUNTS maps each key at the primary to its rows. */
+/* ss_ledger_compare: compares the writes with the primary.  COUNTS maps each
+ * key there to its number of rows.
+ */
 void ss_ledger_compare (SsLedger *ledger, GHashTable *counts);
 
-/* ss_ledger_latency_ms: the quantile from 0 to 1. */
+/* ss_ledger_latency_ms: returns a latency quantile (0 to 1) in milliseconds, or
+ * 0 if none is recorded.
+ */
 double ss_ledger_latency_ms (SsLedger *ledger, double quantile);
 
 #endif
--- a/bench/load.h
+++ b/bench/load.h
@@ -1,4 +1,4 @@
-/* load: what the parts of ss-load share. */
+/* load: types and functions shared by the source files of ss-load. */
 #ifndef SS_LOAD_H
 #define SS_LOAD_H
 
@@ -18,8 +18,8 @@
   OP_WRITE_WITH_ID,
   OP_TRANSACTION,
   OP_READ_OWN,
-  OP_READ_ANY, /* what was acknowledged before the session arrived */
-  OP_READ_AGED
+  OP_READ_ANY, /* any write acknowledged by must_see_ms */
+  OP_READ_AGED /* read with bounded staleness */
 } OpKind;
 
 typedef struct
@@ -40,7 +40,7 @@
   int32_t think_ms;
   int32_t readers;         /* callers that never write */
   int32_t writer_think_ms; /* -1: think_ms */
-  gboolean identity;       /* each caller has its own user name */
+  gboolean identity;       /* each caller connects as its own user */
   int64_t staleness_ms;
   char *aged_kind;
   int64_t started_ms;
@@ -62,23 +62,23 @@
   ev_timer timer;
   bool connecting;
   char *token;
-  SsFiling *last_acknowledged; /* last acknowledged */
+  SsFiling *last_acknowledged; /* of this caller's writes */
   OpKind op;
   char *steps[STEPS_MAX];
   int32_t step_count;
   int32_t step;
   SsFiling *current_write;
-  SsFiling *expected_write; /* of a read */
+  SsFiling *expected_write; /* looked up by the current read */
   int64_t op_started_ms;
-  int64_t must_see_ms;
-  int64_t token_covers_ms;   /* what the token covers: acknowledged by then */
-  bool may_be_absent; /* another caller's write, not promised */
+  int64_t must_see_ms;     /* session reads see writes acknowledged by then */
+  int64_t token_covers_ms; /* must_see_ms of the session that gave the token */
+  bool may_be_absent;      /* no guarantee: may be another identity's write */
   int64_t attempt_started_ms;
   int64_t step_started_us;
   int32_t rows;
   bool value_matches;
-  bool statement_pending; /* a statement is out */
-  bool vm_stopping;  /* the entry vm said that it ends the connection */
+  bool statement_pending; /* sent, not yet answered */
+  bool vm_stopping; /* the entry VM announced that it closes the connection */
   bool failed;
   char sqlstate[6];
   char detail[160];
@@ -88,21 +88,26 @@
 /* --- ss_load.c --- */
 
 int64_t load_now_ms (void);
+/* load_chance: returns true with a probability of PERCENT. */
 bool load_chance (int32_t percent);
 
 /* --- load_ops.c --- */
 
-/* load_choose_op: draws the caller's next operation and its statements. */
+/* load_choose_op: chooses the caller's next operation at random and prepares
+ * its statements.
+ */
 void load_choose_op (Caller *c);
 bool load_is_write (const Caller *c);
 void load_clear_steps (Caller *c);
 
 /* --- load_report.c --- */
 
-/* load_compare: compares the record with the primary of the highest term;
- * false where no target is one.
+/* load_compare: compares the ledger with the contents of the primary with the
+ * highest term.  Waits up to 16 s for a primary; returns false if there is
+ * none.
  */
 bool load_compare (void);
+/* load_print_report: prints the results as one line of JSON. */
 void load_print_report (bool compared);
 
 #endif
--- a/bench/load_ops.c
+++ b/bench/load_ops.c
@@ -54,19 +54,22 @@
   g_snprintf (key, sizeof key, "c%d-%d", c->number, c->sequence);
   g_snprintf (partner, sizeof partner, "c%d-%d-b", c->number, c->sequence);
   c->current_write = ss_ledger_add (&load.ledger, key,
-                             c->op == OP_TRANSACTION ? partner : NULL);
+                                    c->op == OP_TRANSACTION ? partner : NULL);
 }
 
-/* A write acknowledged at BOUND_MS or before. */
+/* Returns a random write acknowledged by BOUND_MS, or NULL if eight tries find
+ * none.
+ */
 static SsFiling *
 pick_acknowledged (int64_t bound_ms)
 {
-  GPtrArray *all = load.ledger.acknowledged;
+  GPtrArray *acknowledged = load.ledger.acknowledged;
 
-  for (int32_t tries = 0; all->len && tries < 8; tries++)
+  for (int32_t tries = 0; acknowledged->len && tries < 8; tries++)
     {
       SsFiling *f = g_ptr_array_index (
-          all, g_rand_int_range (load.rand, 0, (gint32) all->len));
+          acknowledged,
+          g_rand_int_range (load.rand, 0, (gint32) acknowledged->len));
 
       if (f->acknowledged_ms <= bound_ms)
         return f;
@@ -88,8 +91,9 @@
   c->may_be_absent = c->op == OP_READ_ANY && load.identity;
   add_step (c, g_strdup_printf ("SET sapphirestair.kind = '%s'",
                                 aged ? load.aged_kind : "session"));
-  add_step (c, g_strdup_printf ("SELECT value FROM " TABLE " WHERE key = '%s'",
-                                c->expected_write ? c->expected_write->key : "none"));
+  add_step (
+      c, g_strdup_printf ("SELECT value FROM " TABLE " WHERE key = '%s'",
+                          c->expected_write ? c->expected_write->key : "none"));
   add_step (c, g_strdup ("RESET sapphirestair.kind"));
 }
 
--- a/bench/load_report.c
+++ b/bench/load_report.c
@@ -6,7 +6,7 @@
 
 #include "bench/load.h"
 
-/* A change of primary is over within this; the users' figure. */
+/* Users require that a failover completes within 16 s. */
 #define PRIMARY_TIMEOUT_MS 16000
 #define PRIMARY_RETRY_MS 50
 
@@ -25,7 +25,7 @@
   return pq;
 }
 
-/* The term in which the target serves as primary; 0: it does not. */
+/* Returns the term in which the target is primary, or 0 if it is not. */
 static uint64_t
 primary_term (PGconn *pq)
 {
@@ -39,6 +39,7 @@
   return term;
 }
 
+/* Returns the number of rows of each key. */
 static GHashTable *
 read_row_counts (PGconn *pq)
 {
@@ -57,7 +58,9 @@
   return counts;
 }
 
-/* The contents of the primary of the highest term; NULL: there is none now. */
+/* Returns the number of rows of each key at the primary with the highest term,
+ * or NULL if there is no primary now.
+ */
 static GHashTable *
 read_primary_rows (void)
 {
@@ -81,7 +84,7 @@
   return best;
 }
 
-/* A change of primary may be under way as the load ends. */
+/* Retries because a failover may be in progress when the load ends. */
 bool
 load_compare (void)
 {
@@ -169,15 +172,16 @@
       "{s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:f, s:I, s:f, "
       "s:f, s:I, s:I, s:b, s:f, s:o}",
       "statements", (json_int_t) l->statements, "acknowledged",
-      (json_int_t) l->acknowledged_ops, "not_run", (json_int_t) l->not_run, "may_have_run",
-      (json_int_t) l->may_have_run, "lost", (json_int_t) l->lost, "doubled",
-      (json_int_t) doubled, "stale", (json_int_t) l->stale, "crossed",
-      (json_int_t) l->crossed, "mixed", (json_int_t) l->mixed,
-      "ran_though_not_run", (json_int_t) l->ran_though_not_run,
-      "replica_read_share", reads > 0 ? replica / reads : 0.0,
-      "failover_gap_ms", (json_int_t) l->failover_gap_ms, "p50_ms",
-      ss_ledger_latency_ms (l, 0.5), "p99_ms", ss_ledger_latency_ms (l, 0.99),
-      "writes", (json_int_t) l->acknowledged->len, "refused_connections",
+      (json_int_t) l->acknowledged_ops, "not_run", (json_int_t) l->not_run,
+      "may_have_run", (json_int_t) l->may_have_run, "lost",
+      (json_int_t) l->lost, "doubled", (json_int_t) doubled, "stale",
+      (json_int_t) l->stale, "crossed", (json_int_t) l->crossed, "mixed",
+      (json_int_t) l->mixed, "ran_though_not_run",
+      (json_int_t) l->ran_though_not_run, "replica_read_share",
+      reads > 0 ? replica / reads : 0.0, "failover_gap_ms",
+      (json_int_t) l->failover_gap_ms, "p50_ms", ss_ledger_latency_ms (l, 0.5),
+      "p99_ms", ss_ledger_latency_ms (l, 0.99), "writes",
+      (json_int_t) l->acknowledged->len, "refused_connections",
       (json_int_t) l->refused_connections, "compared", compared,
       "statements_per_s",
       (double) l->statements * 1000.0
--- a/bench/replica.sh
+++ b/bench/replica.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# Share of reads served by replicas for lookups (98% reads, all of them
-# session reads, sessions that roam every 100 operations, half of them with
-# their token) at replica lags of 20, 200 and 2000 ms; then reads of a stated
-# age.
+# Measures the share of reads served by replicas at replica lags of 20, 200 and
+# 2000 ms.  The load is 98% session reads; a session reconnects every 100
+# operations.  Half of the reconnects present the session token; then none does;
+# then callers are identified by user name.  The last run measures reads with
+# bounded staleness.
 set -eu
 cd "$(dirname "$0")/.."
 B=${B:-build}
@@ -24,6 +25,6 @@
   run "session reads, no token      " "$lag" "aged=0 tokens=0"
 done
 for lag in 20 200 2000; do
-  run "session reads, known callers " "$lag" "aged=0 tokens=0 identity" user
+  run "session reads, by identity   " "$lag" "aged=0 tokens=0 identity" user
 done
-run "reads of a stated age, 30 s  " 2000 "aged=100 tokens=50"
+run "bounded staleness, 30 s      " 2000 "aged=100 tokens=50"
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# All measurements of docs/MEASUREMENTS.md, one after the other.
+# Runs all benchmarks of docs/MEASUREMENTS.md in sequence.
 cd "$(dirname "$0")/.."
 for step in "build/ss-scenario bench/speed.scn" bench/failover.sh \
   bench/replica.sh "build/ss-scenario bench/overload.scn" \
--- a/bench/soak.sh
+++ b/bench/soak.sh
@@ -1,11 +1,13 @@
 #!/bin/sh
-# Plays scenarios of faults that follow from seeds, against real processes.
+# Runs scenarios of random faults, generated from seeds, against real
+# processes.
 #
 # usage: bench/soak.sh DIR FIRST LAST [JOBS [OPTION...]]
 #
-# DIR gets the scenarios and what each printed; OPTIONs go to ss-soak.  Prints
-# a line for each seed and ends with 1 if one failed.  A seed that failed stays
-# as tests/soak/NAME.scn, with a line on its cause.
+# Runs seeds FIRST to LAST, JOBS at a time.  Writes the scenarios and their
+# output into DIR and passes each OPTION to ss-soak.  Prints a line for each
+# seed; exits with 1 if one failed.  Keep the scenario of a failed seed as
+# tests/soak/NAME.scn, with a comment that states the cause.
 set -eu
 
 . "$(dirname "$0")/days.sh"
--- a/bench/soak_lies.sh
+++ b/bench/soak_lies.sh
@@ -1,10 +1,11 @@
 #!/bin/sh
-# Shows that the soak's checks can fail: servers that get one thing wrong.
+# Tests that the checks of the soak test detect faulty servers.
 #
 # usage: bench/soak_lies.sh DIR [SEEDS]
 #
-# Plays the first SEEDS (4) seeds with each lie of ss-standin-target.  Prints
-# what was found, and ends with 1 if a lie was not.
+# Runs the first SEEDS seeds (default 4) with each defect that SS_STANDIN_LIE
+# can inject into ss-standin-target.  Prints the checks that failed for each
+# defect; exits with 1 if no check failed for one.
 set -u
 
 . "$(dirname "$0")/days.sh"
@@ -14,12 +15,12 @@
 seeds=${2:-4}
 missed=0
 
-for lie in applied term commit request refusal check answer; do
-  SS_STANDIN_LIE=$lie sh "$(dirname "$0")/soak.sh" "$dir/$lie" 1 "$seeds" \
-    "$seeds" > "$dir.$lie" 2>&1
-  found=$(sed -n 's/.*scn:[0-9]*: \([a-z_]*\) is .*/\1/p' "$dir.$lie" |
+for defect in applied term commit request refusal check answer; do
+  SS_STANDIN_LIE=$defect sh "$(dirname "$0")/soak.sh" "$dir/$defect" 1 \
+    "$seeds" "$seeds" > "$dir.$defect" 2>&1
+  found=$(sed -n 's/.*scn:[0-9]*: \([a-z_]*\) is .*/\1/p' "$dir.$defect" |
     sort -u | tr '\n' ' ')
-  printf '%-9s %s\n' "$lie" "${found:-NOT FOUND}"
+  printf '%-9s %s\n' "$defect" "${found:-NOT FOUND}"
   [ -n "$found" ] || missed=1
 done
 exit "$missed"
--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -1,8 +1,9 @@
-/* ss-bench: one statement over and over, on many connections.
+/* ss-bench: throughput and latency of one statement on many connections.
  *
- * Closed loop by default; with --rate, statements come at that rate whatever
- * the answers do.  With --idle it only opens connections and holds them.  It
- * stops by itself and prints one JSON object.
+ * Closed loop by default.  With --rate, an open loop: statements arrive at a
+ * constant rate, however long the answers take.  With --idle, it only opens
+ * connections and holds them.  Ends after a fixed time and prints one JSON
+ * object.
  */
 #include <ev.h>
 #include <glib.h>
@@ -40,7 +41,7 @@
   int seconds;
   int rate;
   gboolean idle;
-  int pid; /* whose memory is reported */
+  int pid; /* process whose memory is reported; 0: none */
   Conn *conns;
   GQueue idle_conns;
   int opened;
@@ -48,9 +49,9 @@
   int64_t started_us;
   uint64_t completed;
   uint64_t refused;
-  uint64_t dropped; /* no connection was free */
-  double due_arrivals;       /* arrivals still to be sent */
-  SsLedger ledger;  /* for latencies */
+  uint64_t dropped;    /* arrivals while no connection was idle */
+  double due_arrivals; /* fraction of a statement carries over */
+  SsLedger ledger;     /* only its latencies are used */
   GArray *refusal_latencies_us;
   int64_t memory_before_kb;
   bool running;
@@ -242,7 +243,8 @@
   (void) events;
   if (!bench.running)
     return;
-  for (bench.due_arrivals += bench.rate * ARRIVAL_INTERVAL_S; bench.due_arrivals >= 1; bench.due_arrivals--)
+  for (bench.due_arrivals += bench.rate * ARRIVAL_INTERVAL_S;
+       bench.due_arrivals >= 1; bench.due_arrivals--)
     {
       Conn *c = g_queue_pop_head (&bench.idle_conns);
 
@@ -262,10 +264,10 @@
   json_t *json
       = json_pack ("{s:i, s:f, s:f, s:f, s:f, s:I, s:f, s:f, s:I, s:f}",
                    "callers", bench.callers, "seconds", seconds,
-                   "completed_per_s", (double) bench.completed / seconds, "p50_ms",
-                   ss_ledger_latency_ms (&bench.ledger, 0.5), "p99_ms",
-                   ss_ledger_latency_ms (&bench.ledger, 0.99), "refused",
-                   (json_int_t) bench.refused, "refusal_p50_ms",
+                   "completed_per_s", (double) bench.completed / seconds,
+                   "p50_ms", ss_ledger_latency_ms (&bench.ledger, 0.5),
+                   "p99_ms", ss_ledger_latency_ms (&bench.ledger, 0.99),
+                   "refused", (json_int_t) bench.refused, "refusal_p50_ms",
                    ss_ledger_latency_ms (&refusals, 0.5), "refusal_p99_ms",
                    ss_ledger_latency_ms (&refusals, 0.99), "dropped",
                    (json_int_t) bench.dropped, "memory_bytes_per_connection",
@@ -282,23 +284,26 @@
 main (int argc, char **argv)
 {
   static const GOptionEntry entries[] = {
-    { "address", 0, 0, G_OPTION_ARG_STRING, &bench.address, "Address",
+    { "address", 0, 0, G_OPTION_ARG_STRING, &bench.address, "Server address",
       "IP:PORT" },
-    { "database", 0, 0, G_OPTION_ARG_STRING, &bench.database, "Service",
-      "NAME" },
-    { "options", 0, 0, G_OPTION_ARG_STRING, &bench.options, "Session settings",
-      "TEXT" },
-    { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement", "SQL" },
-    { "callers", 0, 0, G_OPTION_ARG_INT, &bench.callers, "Connections", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Length", "S" },
-    { "rate", 0, 0, G_OPTION_ARG_INT, &bench.rate, "Statements a second", "N" },
-    { "idle", 0, 0, G_OPTION_ARG_NONE, &bench.idle, "Only hold connections",
-      NULL },
+    { "database", 0, 0, G_OPTION_ARG_STRING, &bench.database,
+      "Name of the service", "NAME" },
+    { "options", 0, 0, G_OPTION_ARG_STRING, &bench.options,
+      "Session settings, as the libpq option \"options\"", "TEXT" },
+    { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement to run", "SQL" },
+    { "callers", 0, 0, G_OPTION_ARG_INT, &bench.callers,
+      "Number of connections", "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Duration", "S" },
+    { "rate", 0, 0, G_OPTION_ARG_INT, &bench.rate,
+      "Statements per second (open loop)", "N" },
+    { "idle", 0, 0, G_OPTION_ARG_NONE, &bench.idle,
+      "Only hold idle connections", NULL },
     { "pid", 0, 0, G_OPTION_ARG_INT, &bench.pid,
       "Process whose memory is reported", "PID" },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
-  GOptionContext *context = g_option_context_new ("- throughput");
+  GOptionContext *context
+      = g_option_context_new ("- throughput and latency of one statement");
   GError *error = NULL;
   ev_timer arrivals;
 
@@ -311,7 +316,7 @@
   if (!g_option_context_parse (context, &argc, &argv, &error) || !bench.address)
     {
       fprintf (stderr, "ss-bench: %s\n",
-               error ? error->message : "--address is needed");
+               error ? error->message : "--address is required");
       return 2;
     }
   bench.loop = ev_default_loop (0);
@@ -320,7 +325,8 @@
   g_queue_init (&bench.idle_conns);
   ss_ledger_init (&bench.ledger);
   bench.memory_before_kb = resident_kb ();
-  ev_timer_init (&arrivals, on_arrivals, ARRIVAL_INTERVAL_S, ARRIVAL_INTERVAL_S);
+  ev_timer_init (&arrivals, on_arrivals, ARRIVAL_INTERVAL_S,
+                 ARRIVAL_INTERVAL_S);
   if (bench.rate)
     ev_timer_start (bench.loop, &arrivals);
   for (int i = 0; i < PENDING_CONNECTS_MAX && i < bench.callers; i++)
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -1,8 +1,9 @@
-/* ss-load: callers that file, read back and roam between entry vms.
+/* ss-load: load generator and consistency checker.
  *
- * It keeps its own record of what it was told and compares it at the end with
- * what the targets hold.  Load goes to the addresses given only and stops by
- * itself.  The last line is one JSON object.
+ * Callers write rows, read them back and reconnect to random entry VMs.  A
+ * ledger records the reported outcome of each write; at the end it is compared
+ * with the contents of the primary.  Connects only to the addresses given and
+ * ends after a fixed time.  The last line of the output is one JSON object.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -178,7 +179,8 @@
     fprintf (stderr,
              "ss-load: stale: caller %d key %s op %d token %s "
              "age_ms %" G_GINT64_FORMAT "\n",
-             c->number, c->expected_write->key, c->op, c->token ? c->token : "-",
+             c->number, c->expected_write->key, c->op,
+             c->token ? c->token : "-",
              load_now_ms () - c->expected_write->acknowledged_ms);
 }
 
@@ -210,7 +212,7 @@
                        : load_now_ms () - c->op_started_ms > OP_TIMEOUT_MS;
 }
 
-/* A write that failed; it is repeated where that is safe. */
+/* Retries a failed write if it did not run or has an idempotency key. */
 static void
 fail_write (Caller *c, bool not_run)
 {
@@ -219,9 +221,10 @@
   ss_ledger_write_failed (&load.ledger, c->attempt_started_ms);
   if (!safe || op_timed_out (c))
     {
-      /* An earlier try with the id may have run. */
-      c->current_write->fate = not_run && c->op != OP_WRITE_WITH_ID ? SS_FATE_NOT_RUN
-                                                             : SS_FATE_UNKNOWN;
+      /* An earlier attempt with the same idempotency key may have run. */
+      c->current_write->fate = not_run && c->op != OP_WRITE_WITH_ID
+                                   ? SS_FATE_NOT_RUN
+                                   : SS_FATE_UNKNOWN;
       end_op (c);
       return;
     }
@@ -242,7 +245,9 @@
     fail_write (c, not_run);
   else
     {
-      /* The session still has the read's kind: a write must not follow. */
+      /* The session still has the kind of the read, so it can't be reused for a
+       * write.
+       */
       close_connection (c);
       c->current_write = NULL;
       c->expected_write = NULL;
@@ -253,7 +258,9 @@
     }
 }
 
-/* Statements to clean up after a failed step have no verdict of their own. */
+/* Closes the connection if a statement in a transaction failed: a ROLLBACK
+ * would have no verdict of its own.
+ */
 static void
 end_step (Caller *c)
 {
@@ -294,7 +301,9 @@
 
       c->failed = true;
       g_strlcpy (c->sqlstate, sqlstate ? sqlstate : "", sizeof c->sqlstate);
-      /* The target's own refusal of a statement is its word. */
+      /* Without a DETAIL, the message may have the verdict.  Otherwise an error
+       * with an SQLSTATE comes from the target, which refused the statement.
+       */
       if (!detail)
         detail = strstr (PQresultErrorMessage (r), "verdict=");
       if (detail)
@@ -306,8 +315,9 @@
     }
 }
 
-/* The entry vm went away: what was under way has no verdict, but for a
- * transaction whose COMMIT was not sent.
+/* The connection to the entry VM is lost.  The pending operation has no
+ * verdict, except that it did not run if its COMMIT was not sent, if it only
+ * set the request id, or if the VM reported that it is stopping.
  */
 static void
 on_connection_lost (Caller *c)
@@ -316,7 +326,8 @@
   bool uncommitted = c->op == OP_TRANSACTION && c->step < c->step_count - 1;
   bool setting_id = c->op == OP_WRITE_WITH_ID && c->step == 0;
 
-  bool stop_reported = strstr (PQerrorMessage (c->pq), "reason=stopping") != NULL;
+  bool stop_reported
+      = strstr (PQerrorMessage (c->pq), "reason=stopping") != NULL;
 
   close_connection (c);
   c->statement_pending = false;
@@ -347,7 +358,7 @@
         {
           bool has_verdict = c->failed && detail_contains (c, "verdict=");
 
-          /* A verdict stands, also where the connection ends with it. */
+          /* A verdict is valid even if the connection closes after it. */
           if (PQstatus (c->pq) == CONNECTION_BAD && !has_verdict)
             on_connection_lost (c);
           else if (c->statement_pending)
@@ -484,7 +495,8 @@
 {
   (void) w;
   (void) events;
-  fprintf (stderr, "ss-load: %d callers did not come to an end\n", load.live_callers);
+  fprintf (stderr, "ss-load: %d callers did not finish in time\n",
+           load.live_callers);
   ev_break (loop, EVBREAK_ALL);
 }
 
@@ -518,7 +530,8 @@
     }
   ev_timer_init (&stop, on_stop, load.seconds, 0);
   ev_timer_start (load.loop, &stop);
-  ev_timer_init (&overrun, on_overrun, load.seconds + 2 * DRAIN_TIMEOUT_MS / 1000.0, 0);
+  ev_timer_init (&overrun, on_overrun,
+                 load.seconds + 2 * DRAIN_TIMEOUT_MS / 1000.0, 0);
   ev_timer_start (load.loop, &overrun);
   ev_signal_init (&on_int, on_signal, SIGINT);
   ev_signal_start (load.loop, &on_int);
@@ -541,14 +554,15 @@
   static int staleness_ms = 30000;
   static const GOptionEntry options[] = {
     { "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &load.entries,
-      "Address of an entry vm's caller side", "IP:PORT" },
+      "Address at which an entry vm accepts callers", "IP:PORT" },
     { "target", 0, 0, G_OPTION_ARG_STRING_ARRAY, &load.targets,
-      "Address of a target, for the comparison at the end", "IP:PORT" },
+      "Address of a target, to compare its contents at the end", "IP:PORT" },
     { "admin", 0, 0, G_OPTION_ARG_STRING_ARRAY, &load.admins,
-      "Address of a vm's administration API", "IP:PORT" },
+      "Address of a vm's admin API", "IP:PORT" },
     { "service", 0, 0, G_OPTION_ARG_STRING, &load.service, "Service", "NAME" },
-    { "callers", 0, 0, G_OPTION_ARG_INT, &load.callers, "Callers", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Length", "S" },
+    { "callers", 0, 0, G_OPTION_ARG_INT, &load.callers, "Number of callers",
+      "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Duration", "S" },
     { "writes", 0, 0, G_OPTION_ARG_INT, &load.write_percent,
       "Share of writes in percent", "P" },
     { "ids", 0, 0, G_OPTION_ARG_INT, &load.id_percent,
@@ -556,29 +570,30 @@
     { "transactions", 0, 0, G_OPTION_ARG_INT, &load.transaction_percent,
       "Share of writes in transactions", "P" },
     { "aged", 0, 0, G_OPTION_ARG_INT, &load.aged_percent,
-      "Share of reads of the aged kind", "P" },
+      "Share of reads with bounded staleness", "P" },
     { "aged-kind", 0, 0, G_OPTION_ARG_STRING, &load.aged_kind,
-      "Name of the aged kind", "NAME" },
+      "Kind of the reads with bounded staleness", "NAME" },
     { "staleness-ms", 0, 0, G_OPTION_ARG_INT, &staleness_ms,
-      "Staleness of the aged kind", "MS" },
+      "Staleness bound of these reads", "MS" },
     { "roam", 0, 0, G_OPTION_ARG_INT, &load.reconnect_percent,
-      "Chance to connect anew before an operation", "P" },
+      "Probability of a reconnect before an operation", "P" },
     { "tokens", 0, 0, G_OPTION_ARG_INT, &load.token_percent,
-      "Share of arrivals that bring their token", "P" },
+      "Share of reconnects that present the session token", "P" },
     { "think-ms", 0, 0, G_OPTION_ARG_INT, &load.think_ms,
-      "Pause between operations", "MS" },
+      "Think time between operations", "MS" },
     { "readers", 0, 0, G_OPTION_ARG_INT, &load.readers,
       "Callers that never write", "N" },
     { "writer-think-ms", 0, 0, G_OPTION_ARG_INT, &load.writer_think_ms,
-      "Pause of callers that write", "MS" },
+      "Think time of callers that write", "MS" },
     { "identity", 0, 0, G_OPTION_ARG_NONE, &load.identity,
       "Each caller has its own user name; reads are checked for its own "
       "writes only",
       NULL },
-    { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "Seed", "N" },
+    { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "Random seed", "N" },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
-  GOptionContext *context = g_option_context_new ("- load and comparison");
+  GOptionContext *context
+      = g_option_context_new ("- load generator and consistency checker");
   GError *error = NULL;
   bool compared;
 
@@ -598,7 +613,7 @@
   if (!g_option_context_parse (context, &argc, &argv, &error) || !load.entries)
     {
       fprintf (stderr, "ss-load: %s\n",
-               error ? error->message : "--entry is needed");
+               error ? error->message : "--entry is required");
       return 2;
     }
   load.staleness_ms = staleness_ms;
--- a/bench/ss_scenario.c
+++ b/bench/ss_scenario.c
@@ -1,5 +1,7 @@
-/* ss-scenario: runs a scenario, a file of one command a line, against real
- * processes on loopback.  tests/scenario/README.md describes the language.
+/* ss-scenario: runs scenario files against real processes on loopback.
+ *
+ * A scenario has one command per line.  tests/scenario/README.md describes the
+ * language.
  */
 #include <jansson.h>
 #include <signal.h>
@@ -18,10 +20,10 @@
 typedef struct
 {
   SsDeploy deploy;
-  json_t *result; /* of the last load */
+  json_t *result; /* report of the last load */
   char *result_text;
-  int32_t primary; /* as of the last "note primary" */
-  int32_t owner;   /* vm that owned it when first asked; -1: not asked */
+  int32_t primary; /* target at the last "note primary"; -1: none */
+  int32_t owner;   /* VM that owned it when first looked up; -1: unknown */
   const char *path;
   uint32_t line;
 } Run;
@@ -47,7 +49,7 @@
   return false;
 }
 
-/* The value of "name=value" among ARGV, or FALLBACK. */
+/* Returns the value of "NAME=value" among ARGV, or FALLBACK. */
 static const char *
 option (char **argv, const char *name, const char *fallback)
 {
@@ -59,7 +61,7 @@
   return fallback;
 }
 
-/* The vm that owns the noted primary. */
+/* Returns the VM that owned the noted primary when first looked up, or NULL. */
 static SsDeployProcess *
 find_owner (Run *run, uint32_t *index)
 {
@@ -100,6 +102,7 @@
   return found;
 }
 
+/* Returns the process that ARGV[1] and ARGV[2] name, or NULL. */
 static SsDeployProcess *
 find_process (Run *run, char **argv, uint32_t *index)
 {
@@ -143,7 +146,7 @@
           (uint32_t) atoi (option (argv, "vms", "2")),
           (uint32_t) atoi (option (argv, "servers", "3"))))
     return true;
-  return fail (run, "the deployment did not come up");
+  return fail (run, "the deployment did not become ready in time");
 }
 
 static bool
@@ -157,7 +160,7 @@
   g_ptr_array_add (arguments, NULL);
   ok = ss_deploy_load (&run->deploy, (char **) arguments->pdata);
   g_ptr_array_free (arguments, TRUE);
-  return ok || fail (run, "the load did not start");
+  return ok || fail (run, "ss-load could not be started");
 }
 
 static bool
@@ -178,7 +181,7 @@
   SsDeployProcess *p = find_process (run, argv, &index);
 
   if (!p || !p->pid)
-    return fail (run, "no such process");
+    return fail (run, "no such process, or it is not running");
   if (strcmp (argv[0], "kill") == 0)
     ss_deploy_signal (p, SIGKILL);
   else if (strcmp (argv[0], "freeze") == 0)
@@ -198,7 +201,7 @@
   SsDeployProcess *p = find_process (run, argv, &index);
 
   if (!p || p->pid)
-    return fail (run, "no such process, or it runs already");
+    return fail (run, "no such process, or it is already running");
   if (p >= run->deploy.vms && p < run->deploy.vms + SS_DEPLOY_MAX)
     return ss_deploy_start_vm (&run->deploy, index);
   return ss_deploy_start_target (&run->deploy, index);
@@ -209,12 +212,13 @@
 {
   bool partitioned = strcmp (argv[0], "cut") == 0;
 
-  if (!argv[1] || !ss_deploy_partition_domain (&run->deploy, argv[1], partitioned))
-    return fail (run, "can't %s that domain", argv[0]);
+  if (!argv[1]
+      || !ss_deploy_partition_domain (&run->deploy, argv[1], partitioned))
+    return fail (run, "can't %s the failure domain", argv[0]);
   return true;
 }
 
-/* "link N JSON" */
+/* "link VM JSON" */
 static bool
 do_link (Run *run, char **argv)
 {
@@ -222,7 +226,7 @@
 
   if (!argv[1] || !argv[2] || vm >= run->deploy.vm_count
       || !ss_deploy_set_link_faults (&run->deploy, vm, argv[2]))
-    return fail (run, "the network refused the fault");
+    return fail (run, "no such vm, or ss-standin-network rejected the fault");
   return true;
 }
 
@@ -230,7 +234,7 @@
 do_platform (Run *run, char **argv)
 {
   if (!argv[1] || !ss_deploy_control_platform (&run->deploy, argv[1]))
-    return fail (run, "the platform refused the control");
+    return fail (run, "the stand-in platform rejected the control request");
   return true;
 }
 
@@ -239,19 +243,21 @@
 {
   uint32_t index = 0;
   SsDeployProcess *p = find_process (run, argv, &index);
-  uint32_t at = argv[1] && strcmp (argv[1], "primary") == 0 ? 2 : 3;
+  uint32_t name_index = argv[1] && strcmp (argv[1], "primary") == 0 ? 2 : 3;
 
-  if (!p || !argv[at] || !argv[at + 1]
-      || !ss_deploy_control_target (p, argv[at], atoi (argv[at + 1])))
-    return fail (run, "the target refused the control");
+  if (!p || !argv[name_index] || !argv[name_index + 1]
+      || !ss_deploy_control_target (p, argv[name_index],
+                                    atoi (argv[name_index + 1])))
+    return fail (run, "no such target, or it rejected the control request");
   return true;
 }
 
 static bool
 do_put (Run *run, char **argv)
 {
-  if (!argv[1] || !argv[2] || !ss_deploy_put_object (&run->deploy, argv[1], argv[2]))
-    return fail (run, "the platform refused the object");
+  if (!argv[1] || !argv[2]
+      || !ss_deploy_put_object (&run->deploy, argv[1], argv[2]))
+    return fail (run, "the stand-in platform rejected the object");
   return true;
 }
 
@@ -283,12 +289,12 @@
 
   if (argv[1] && strcmp (argv[1], "ready") == 0)
     return (p && ss_deploy_wait_ready (&run->deploy, index, AWAIT_TIMEOUT_MS))
-           || fail (run, "the vm is not ready");
+           || fail (run, "the vm did not become ready in time");
   if (argv[1] && strcmp (argv[1], "exit") == 0)
     {
       if (!p || !ss_deploy_wait_exit (p, AWAIT_TIMEOUT_MS, &code))
-        return fail (run, "the process did not end");
-      return code == 0 || fail (run, "the process ended with %d", code);
+        return fail (run, "the process did not exit in time");
+      return code == 0 || fail (run, "the process exited with status %d", code);
     }
   while (now_ms () < deadline_ms && !interrupted)
     {
@@ -296,10 +302,10 @@
         return true;
       g_usleep (POLL_INTERVAL_US);
     }
-  return fail (run, "no new primary");
+  return fail (run, "no other target became primary in time");
 }
 
-/* "sql N SQL EXPECTED [options=...]" */
+/* "sql VM SQL EXPECTED [conninfo=...]"; "await-sql" retries until it matches */
 static bool
 do_sql (Run *run, char **argv)
 {
@@ -309,7 +315,7 @@
   bool ok;
 
   if (!argv[1] || !argv[2] || !argv[3])
-    return fail (run, "sql needs a vm, a statement and what is expected");
+    return fail (run, "sql needs a vm, a statement and the expected answer");
   do
     {
       answer = ss_deploy_sql (&run->deploy, (uint32_t) atoi (argv[1]),
@@ -322,7 +328,7 @@
         g_usleep (POLL_INTERVAL_US);
     }
   while (!ok && retry && now_ms () < deadline_ms && !interrupted);
-  return ok || fail (run, "%s is not answered as expected", argv[2]);
+  return ok || fail (run, "unexpected answer to: %s", argv[2]);
 }
 
 /* "ctl VM COMMAND [EXIT-CODE|any]" */
@@ -340,13 +346,15 @@
   if (argv[3] && strcmp (argv[3], "any") == 0)
     expected_code = code;
   if (code != expected_code)
-    fail (run, "sapphirectl ended with %d, expected %d: %s", code, expected_code,
-          output);
+    fail (run, "sapphirectl exited with status %d, expected %d: %s", code,
+          expected_code, output);
   g_free (output);
   return code == expected_code;
 }
 
-/* "race VM COMMAND VM COMMAND": both at the same moment; one is accepted. */
+/* "race VM COMMAND VM COMMAND": runs both concurrently and expects that exactly
+ * one is accepted.
+ */
 static bool
 do_race (Run *run, char **argv)
 {
@@ -354,7 +362,7 @@
   int accepted = 0;
 
   if (g_strv_length (argv) < 5)
-    return fail (run, "race needs two vms and their commands");
+    return fail (run, "race needs two vms with a command each");
   for (uint32_t i = 0; i < 2; i++)
     {
       children[i] = fork ();
@@ -373,12 +381,14 @@
       waitpid (children[i], &status, 0);
       accepted += WIFEXITED (status) && WEXITSTATUS (status) == 0 ? 1 : 0;
     }
-  return accepted == 1 || fail (run, "%d of the two were accepted", accepted);
+  return accepted == 1
+         || fail (run, "%d of the two commands were accepted, expected 1",
+                  accepted);
 }
 
-/* "run COMMAND": a shell command with the deployment's addresses in its
- * environment: SS_VM_n, SS_VM_PID_n, SS_TARGET_n, SS_PLATFORM, SS_DIRECTORY,
- * SS_OWNER and SS_OTHER (the noted primary's owner and a vm beside it).
+/* "run COMMAND": runs a shell command.  Its environment has the deployment's
+ * addresses: SS_VM_n, SS_VM_PID_n, SS_TARGET_n, SS_PLATFORM, SS_DIRECTORY,
+ * SS_OWNER (the owner of the noted primary) and SS_OTHER (a different VM).
  */
 static bool
 do_run (Run *run, char **argv)
@@ -408,7 +418,8 @@
       g_setenv ("SS_OWNER", d->vms[owner].ip, TRUE);
       g_setenv ("SS_OTHER", d->vms[owner ^ 1].ip, TRUE);
     }
-  return (argv[1] && system (argv[1]) == 0) || fail (run, "the command failed");
+  return (argv[1] && system (argv[1]) == 0)
+         || fail (run, "the shell command failed");
 }
 
 static bool
@@ -419,7 +430,7 @@
   g_free (run->result_text);
   run->result_text = ss_deploy_load_result (&run->deploy);
   run->result = json_loads (run->result_text, 0, NULL);
-  return run->result != NULL || fail (run, "the load gave no result");
+  return run->result != NULL || fail (run, "ss-load printed no result");
 }
 
 static bool
@@ -518,7 +529,7 @@
         ok = commands[i].run (run, argv);
         goto done;
       }
-  fail (run, "no such command: %s", argv[0]);
+  fail (run, "unknown command: %s", argv[0]);
 done:
   g_strfreev (argv);
   return ok;
@@ -538,7 +549,7 @@
   bool ok = true;
 
   if (!g_file_get_contents (run->path, &text, NULL, NULL))
-    return fail (run, "can't be read");
+    return fail (run, "the file can't be read");
   lines = g_strsplit (text, "\n", -1);
   for (uint32_t i = 0; lines[i] && ok && !interrupted; i++)
     {
--- a/bench/ss_soak.c
+++ b/bench/ss_soak.c
@@ -1,9 +1,9 @@
-/* ss-soak: writes a scenario of faults that follows from a seed.
+/* ss-soak: generates a scenario of random faults from a seed.
  *
- * The faults overlap, last for random times and are all over before the load
- * ends.  No two of them act on one process at a time; besides that anything
- * may meet.  ss-scenario runs the scenario, and the load checks the promises
- * with what callers and targets see.
+ * Faults overlap, have random durations and are all over before the load ends.
+ * At most one fault acts on a process at a time; other combinations are not
+ * restricted.  ss-scenario runs the scenario.  ss-load checks the consistency
+ * guarantees from the callers' results and the targets' contents.
  */
 #include <glib.h>
 #include <stdbool.h>
@@ -14,13 +14,15 @@
 
 #define VMS_PER_DOMAIN 2
 #define SERVERS 3
-/* The deployment settles, and then recovers, without faults. */
+/* Fault-free periods to start up and, at the end, to recover. */
 #define QUIET_START_MS 1500
 #define QUIET_END_MS 2500
-/* A fault is over after this long at the latest. */
+/* Duration of a fault.  The minimum is also the pause between two faults of one
+ * resource.
+ */
 #define FAULT_MAX_MS 4000
 #define FAULT_MIN_MS 50
-/* A fault that finds nothing left to act on is drawn anew this often. */
+/* Tries to find a fault whose resource is free. */
 #define FAULT_TRIES_MAX 8
 
 static const char *const domains[]
@@ -29,7 +31,7 @@
 #define DOMAINS ((uint32_t) G_N_ELEMENTS (domains))
 #define VMS (DOMAINS * VMS_PER_DOMAIN)
 
-/* What a fault acts on, and nothing else may meanwhile. */
+/* What a fault acts on.  One fault at a time may use a resource. */
 typedef enum
 {
   RESOURCE_VM,
@@ -47,7 +49,7 @@
 typedef struct
 {
   int64_t at_ms;
-  uint32_t order; /* among those of the same time */
+  uint32_t order; /* of lines with the same time */
   char *text;
 } Line;
 
@@ -62,7 +64,7 @@
   int32_t faults;
 } Soak;
 
-/* A fault of one place from AT_MS to UNTIL_MS. */
+/* The time in which a fault acts on one resource. */
 typedef struct
 {
   Soak *soak;
@@ -100,7 +102,9 @@
   add_line (s->soak, s->until_ms, "start vm %u", s->index);
 }
 
-/* It ends in its own time, so that no end is scheduled. */
+/* A graceful shutdown takes as long as it needs: the VM is started again after
+ * it exits.
+ */
 static void
 vm_stopped (const FaultWindow *s)
 {
@@ -133,7 +137,8 @@
 static void
 target_control (const FaultWindow *s, const char *name, int32_t value)
 {
-  add_line (s->soak, s->at_ms, "control target %u %s %d", s->index, name, value);
+  add_line (s->soak, s->at_ms, "control target %u %s %d", s->index, name,
+            value);
   add_line (s->soak, s->until_ms, "control target %u %s 0", s->index, name);
 }
 
@@ -159,16 +164,16 @@
 target_drained (const FaultWindow *s)
 {
   add_line (s->soak, s->at_ms, "ctl 0 \"drain target claims-db-%u\" any",
-       s->index + 1);
+            s->index + 1);
   add_line (s->soak, s->until_ms, "ctl 0 \"undrain target claims-db-%u\" any",
-       s->index + 1);
+            s->index + 1);
 }
 
 static void
 promotion_ordered (const FaultWindow *s)
 {
   add_line (s->soak, s->at_ms, "ctl %d \"promote group claims-db\" any",
-       random_between (s->soak, 0, (int32_t) VMS - 1));
+            random_between (s->soak, 0, (int32_t) VMS - 1));
 }
 
 static void
@@ -190,7 +195,8 @@
 {
   char json[48];
 
-  g_snprintf (json, sizeof json, "{\"delay_ms\":%d}", random_between (s->soak, 1, 400));
+  g_snprintf (json, sizeof json, "{\"delay_ms\":%d}",
+              random_between (s->soak, 1, 400));
   link_fault (s, json);
 }
 
@@ -247,7 +253,7 @@
 typedef struct
 {
   Resource resource;
-  uint32_t weight; /* among all faults */
+  uint32_t weight; /* relative probability */
   void (*schedule) (const FaultWindow *window);
 } Fault;
 
@@ -272,22 +278,22 @@
   { RESOURCE_PLATFORM, 2, platform_lost_responses },
 };
 
-/* --- the plan --- */
+/* --- schedule --- */
 
 static const Fault *
 choose_fault (Soak *soak)
 {
-  uint32_t all = 0;
-  uint32_t at;
+  uint32_t total_weight = 0;
+  uint32_t pick;
 
   for (size_t i = 0; i < G_N_ELEMENTS (faults); i++)
-    all += faults[i].weight;
-  at = (uint32_t) g_rand_int_range (soak->rand, 0, (gint32) all);
+    total_weight += faults[i].weight;
+  pick = (uint32_t) g_rand_int_range (soak->rand, 0, (gint32) total_weight);
   for (size_t i = 0; i < G_N_ELEMENTS (faults); i++)
     {
-      if (at < faults[i].weight)
+      if (pick < faults[i].weight)
         return &faults[i];
-      at -= faults[i].weight;
+      pick -= faults[i].weight;
     }
   return &faults[0];
 }
@@ -301,8 +307,8 @@
   return false;
 }
 
-/* The network takes one failure domain as cut at a time, and a cut target
- * can't be told to be healed while it doesn't run.
+/* ss-standin-network supports one partitioned failure domain at a time.  A
+ * partitioned target has to run to be told that the partition has healed.
  */
 static bool
 is_free (const Soak *soak, const Fault *fault, uint32_t index, int64_t at_ms)
@@ -322,10 +328,10 @@
   const Fault *fault = choose_fault (soak);
   FaultWindow s = { .soak = soak, .at_ms = at_ms };
 
-  s.index = (uint32_t) g_rand_int_range (soak->rand, 0,
-                                         (gint32) resource_sizes[fault->resource]);
-  s.until_ms
-      = MIN (at_ms + random_between (soak, FAULT_MIN_MS, FAULT_MAX_MS), soak->faults_end_ms);
+  s.index = (uint32_t) g_rand_int_range (
+      soak->rand, 0, (gint32) resource_sizes[fault->resource]);
+  s.until_ms = MIN (at_ms + random_between (soak, FAULT_MIN_MS, FAULT_MAX_MS),
+                    soak->faults_end_ms);
   if (!is_free (soak, fault, s.index, at_ms))
     return false;
   soak->busy_until_ms[fault->resource][s.index] = s.until_ms + FAULT_MIN_MS;
@@ -353,7 +359,9 @@
   return x < y ? -1 : x > y;
 }
 
-/* Times first, so that what is busy is known in order. */
+/* Chooses the times first, so that busy resources are tracked in order of
+ * time.
+ */
 static void
 plan_faults (Soak *soak)
 {
@@ -361,7 +369,8 @@
 
   for (int32_t i = 0; i < soak->faults; i++)
     {
-      int64_t at_ms = random_between (soak, (int32_t) soak->faults_begin_ms,
+      int64_t at_ms
+          = random_between (soak, (int32_t) soak->faults_begin_ms,
                             (int32_t) soak->faults_end_ms - FAULT_MIN_MS);
 
       g_array_append_val (times, at_ms);
@@ -391,18 +400,20 @@
     }
 }
 
-/* What must hold in every run, and that every vm serves again. */
+/* Prints the checks that hold in every run, and that each VM accepts writes
+ * again.
+ */
 static void
 print_checks (void)
 {
-  static const char *const zero[] = {
+  static const char *const zero_fields[] = {
     "ran_though_not_run", "lost", "doubled", "stale", "crossed", "mixed"
   };
 
   puts ("result");
   puts ("expect compared = 1");
-  for (size_t i = 0; i < G_N_ELEMENTS (zero); i++)
-    printf ("expect %s = 0\n", zero[i]);
+  for (size_t i = 0; i < G_N_ELEMENTS (zero_fields); i++)
+    printf ("expect %s = 0\n", zero_fields[i]);
   for (uint32_t i = 0; i < VMS; i++)
     printf ("await-sql %u \"INSERT INTO filings (key, value) "
             "VALUES ('after-%u', 'after-%u')\" \"INSERT 0 1\"\n",
@@ -417,7 +428,8 @@
   printf ("deployment vms=%d servers=%d\n", VMS_PER_DOMAIN, SERVERS);
   printf ("load callers=16 seconds=%d writes=50 transactions=%d ids=%d "
           "roam=10 tokens=50 think-ms=4 seed=%d\n",
-          soak->seconds, random_between (soak, 0, 60), random_between (soak, 0, 60), seed);
+          soak->seconds, random_between (soak, 0, 60),
+          random_between (soak, 0, 60), seed);
   plan_faults (soak);
   print_lines (soak);
   print_checks ();
@@ -437,12 +449,14 @@
 {
   Soak soak = { .seconds = 14, .faults = 8, .faults_begin_ms = QUIET_START_MS };
   const GOptionEntry options[] = {
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &soak.seconds, "Length of the load",
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &soak.seconds, "Duration of the load",
       "S" },
-    { "faults", 0, 0, G_OPTION_ARG_INT, &soak.faults, "How many at most", "N" },
+    { "faults", 0, 0, G_OPTION_ARG_INT, &soak.faults,
+      "Maximum number of faults", "N" },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
-  GOptionContext *context = g_option_context_new ("SEED - a soak's scenario");
+  GOptionContext *context
+      = g_option_context_new ("SEED - generate a scenario of random faults");
   GError *error = NULL;
 
   g_option_context_add_main_entries (context, options, NULL);
@@ -452,7 +466,8 @@
     {
       fprintf (stderr, "ss-soak: %s\n",
                error ? error->message
-                     : "needs one seed, and 5 seconds or more");
+                     : "needs one seed, no negative number of faults, and 5 "
+                       "seconds or more");
       return 2;
     }
   g_option_context_free (context);
--- a/bench/variants.sh
+++ b/bench/variants.sh
@@ -1,12 +1,13 @@
 #!/bin/sh
-# Plays days on variants of a site: deployments that nobody has seen.
+# Runs a day on variants of a site, to test deployments that differ from the
+# known ones.
 #
 # usage: FLEETBENCH=PROGRAM bench/variants.sh SITE.toml DIR [DAY] [VARIANT]...
 #
-# SITE.toml is only read; its variants are written into DIR, which has to be
-# outside of the repository.  DAY is trouble-1 where it isn't given.  Prints a
-# line for each variant: worth, served share, broken rules.  Ends with 1 if a
-# rule was broken or a day could not be played.
+# SITE.toml is not changed; its variants are written into DIR, which has to be
+# outside of the repository.  DAY defaults to trouble-1.  Prints a line for
+# each variant: worth, served share, broken rules.  Ends with 1 if a rule was
+# broken or a day did not run.
 set -eu
 
 . "$(dirname "$0")/days.sh"
@@ -18,7 +19,7 @@
 day=${3:-trouble-1}
 shift 2
 [ $# -eq 0 ] || shift
-# A site names files beside it.
+# A site refers to files in its own directory.
 for file in "$(dirname "$site")"/*; do
   case $file in
     *.toml) ;;
@@ -26,7 +27,7 @@
   esac
 done
 
-# One line a variant: its name, then a sed script on the site file.
+# One variant per line: its name and a sed script for the site file.
 variants () {
   cat <<'EOF'
 sync_one        s/\bsync = 0/sync = 1/
@@ -45,7 +46,8 @@
 EOF
 }
 
-scaled () {
+# scale_rate FACTOR: prints the site with all request rates of clients scaled.
+scale_rate () {
   awk -v by="$1" '/clients = / && match ($0, /per_s = [0-9.]+/) {
     rate = substr ($0, RSTART + 8, RLENGTH - 8) * by
     $0 = substr ($0, 1, RSTART + 7) sprintf ("%.1f", rate) substr ($0, RSTART + RLENGTH)
@@ -54,12 +56,12 @@
 
 write_variant () {
   case $1 in
-    three_times) scaled 3 ;;
-    a_third) scaled 0.33 ;;
+    three_times) scale_rate 3 ;;
+    a_third) scale_rate 0.33 ;;
     *) sed "$2" "$site" ;;
   esac > "$dir/$1.toml"
   if cmp -s "$site" "$dir/$1.toml"; then
-    die "variant $1 changes nothing in $site"
+    die "variant $1 does not change $site"
   fi
 }
 
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs by name what the build and the tests need and is missing.
+# Installs the packages of the build and the tests if any is missing.
 set -eu
 missing() {
   command -v g++ && command -v pkg-config && command -v curl \
