--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Measures control traffic, platform calls, CPU time and memory of one idle VM
-# with 2 to 12 VMs in one to three failure domains and 1 to 9 servers.
-# The slopes in docs/CAPACITY.md come from these figures.
+# Measures control traffic, platform calls, CPU time and memory of one idle VM,
+# in deployments of 2 to 12 VMs in one to three failure domains with 1 to 9
+# servers.  The slopes in docs/CAPACITY.md come from these figures.
 set -eu
 cd "$(dirname "$0")/.."
 file=$(mktemp)
--- a/bench/days.sh
+++ b/bench/days.sh
@@ -1,6 +1,7 @@
 # Shell functions that run days and print one line for each; sourced by
-# variants.sh and kinds.sh.  FLEETBENCH is the program that runs a day, a TOML
-# file of load and faults, on a site, a TOML file that describes a deployment.
+# variants.sh and kinds.sh, and for die by soak.sh and soak_lies.sh.  FLEETBENCH
+# is the program that runs a day, a TOML file of load and faults, on a site, a
+# TOML file that describes a deployment.
 
 die () {
   echo "$(basename "$0"): $*" >&2
@@ -22,8 +23,9 @@
   printf '%-21s %7s %7s %s\n' "$1" worth served 'broken rules'
 }
 
-# day_row NAME SITE DAY LOG: runs DAY on SITE and prints its result.  Fails if
-# a rule was broken, a process exited by itself or the day did not run.
+# day_row NAME SITE DAY LOG: runs DAY on SITE and prints its result: worth and
+# served share as FLEETBENCH reports them, and the broken rules.  Fails if a rule
+# was broken, a process exited by itself or the day did not run.
 day_row () {
   "$FLEETBENCH" run "$2" "$3" --no-cpu \
     --why "$1 on $(basename "$2")" > "$4" 2>&1 || true
@@ -33,7 +35,7 @@
     /BROKEN/ || /[1-9][0-9]* exits of its own/ { broken = broken " " $0 }
     END {
       printf "%-21s %7s %7s %s\n", name, worth ? worth : "-",
-             served ? served : "-", broken ? broken : worth ? "none" : "not played"
+             served ? served : "-", broken ? broken : worth ? "none" : "did not run"
       exit broken != "" || !worth
     }' "$4"
 }
--- a/bench/deploy.c
+++ b/bench/deploy.c
@@ -11,6 +11,9 @@
 
 #define READY_TIMEOUT_MS 15000
 #define POLL_INTERVAL_US 10000
+/* Last octets of the addresses.  VMs listen on 1 and up.  At its advertised
+ * address, the network relay accepts the other VMs' connections to a VM.
+ */
 #define FIRST_TARGET_HOST 100
 #define PLATFORM_HOST 200
 #define FIRST_ADVERTISED_HOST 50
--- a/bench/deploy.h
+++ b/bench/deploy.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 #include <sys/types.h>
 
-#define SS_DEPLOY_MAX 16 /* limit of VMs and limit of targets */
+#define SS_DEPLOY_MAX 16 /* most VMs; also most targets */
 #define SS_DEPLOY_DOMAINS_MAX 4
 #define SS_DEPLOY_CALLER_PORT 5432
 #define SS_DEPLOY_PEER_PORT 7100
@@ -48,8 +48,8 @@
   uint32_t vm_count;
   SsDeployProcess targets[SS_DEPLOY_MAX];
   uint32_t target_count;
-  pid_t load;
-  char *load_output;
+  pid_t load;        /* ss-load; 0: not running */
+  char *load_output; /* path of the file with its standard output */
 } SsDeploy;
 
 /* ss_deploy_init: creates a temporary directory and sets the defaults.
@@ -107,7 +107,8 @@
 int32_t ss_deploy_primary (SsDeploy *deploy, uint64_t *term);
 /* ss_deploy_sql: runs SQL on a new connection to VM.  OPTIONS is appended to
  * the connection string.  Returns the first value, the command tag if there are
- * no rows, the SQLSTATE on error, or "no connection".  Freed by the caller.
+ * no rows, or the SQLSTATE on error.  Returns "no connection" if the connection
+ * fails and "no answer" if it is lost afterwards.  Freed by the caller.
  */
 char *ss_deploy_sql (SsDeploy *deploy, uint32_t vm, const char *options,
                      const char *sql);
@@ -143,7 +144,9 @@
 bool ss_deploy_set_link_faults (SsDeploy *deploy, uint32_t vm,
                                 const char *json);
 /* ss_deploy_partition_domain: partitions DOMAIN from the other failure domains
- * and the platform, or heals the partition.
+ * and the platform, or heals the partition.  It separates VMs and stops the
+ * replication of the domain's targets; connections between VMs and targets are
+ * not affected.  Only one failure domain can be partitioned at a time.
  */
 bool ss_deploy_partition_domain (SsDeploy *deploy, const char *domain,
                                  bool partitioned);
--- a/bench/kinds.sh
+++ b/bench/kinds.sh
@@ -4,8 +4,8 @@
 # usage: FLEETBENCH=PROGRAM bench/kinds.sh SITE.toml DIR [KIND]...
 #
 # The days are written into DIR, which has to be outside of the repository.
-# Prints a line for each kind: worth, served share, broken rules.  Ends with 1
-# if a rule was broken or a day did not run.
+# Prints a line for each kind: worth, served share, broken rules.  Exits with
+# 1 if a rule was broken or a day did not run.
 set -eu
 
 . "$(dirname "$0")/days.sh"
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -25,12 +25,13 @@
 SsLedgerWrite *
 ss_ledger_add (SsLedger *ledger, const char *key, const char *second_key)
 {
-  SsLedgerWrite *f = g_new0 (SsLedgerWrite, 1);
+  SsLedgerWrite *write = g_new0 (SsLedgerWrite, 1);
 
-  g_strlcpy (f->key, key, sizeof f->key);
-  g_strlcpy (f->second_key, second_key ? second_key : "", sizeof f->second_key);
-  g_ptr_array_add (ledger->writes, f);
-  return f;
+  g_strlcpy (write->key, key, sizeof write->key);
+  g_strlcpy (write->second_key, second_key ? second_key : "",
+             sizeof write->second_key);
+  g_ptr_array_add (ledger->writes, write);
+  return write;
 }
 
 void
@@ -78,17 +79,17 @@
 {
   for (guint i = 0; i < ledger->writes->len; i++)
     {
-      const SsLedgerWrite *f = g_ptr_array_index (ledger->writes, i);
-      uint32_t rows = row_count (counts, f->key);
+      const SsLedgerWrite *write = g_ptr_array_index (ledger->writes, i);
+      uint32_t rows = row_count (counts, write->key);
 
-      if (f->outcome == SS_WRITE_ACKNOWLEDGED && rows == 0)
+      if (write->outcome == SS_WRITE_ACKNOWLEDGED && rows == 0)
         ledger->lost++;
-      if (f->outcome == SS_WRITE_NOT_RUN && rows > 0)
+      if (write->outcome == SS_WRITE_NOT_RUN && rows > 0)
         ledger->ran_though_not_run++;
       if (rows > 1)
         ledger->doubled++;
-      if (*f->second_key
-          && (rows > 0) != (row_count (counts, f->second_key) > 0))
+      if (*write->second_key
+          && (rows > 0) != (row_count (counts, write->second_key) > 0))
         ledger->mixed++;
     }
 }
--- a/bench/ledger.h
+++ b/bench/ledger.h
@@ -32,10 +32,10 @@
   GPtrArray *writes;       /* of SsLedgerWrite */
   GPtrArray *acknowledged; /* in order of acknowledgement; borrowed */
 
-  uint64_t statements;
-  uint64_t acknowledged_ops;
-  uint64_t not_run;
-  uint64_t may_have_run;
+  uint64_t statements;       /* sent */
+  uint64_t acknowledged_ops; /* operations that succeeded, reads too */
+  uint64_t not_run;          /* failed attempts with verdict not_run */
+  uint64_t may_have_run;     /* all other failed attempts */
   uint64_t refused_connections;
   uint64_t reads;
   uint64_t stale;              /* reads without a row they had to return */
@@ -56,8 +56,8 @@
 void ss_ledger_init (SsLedger *ledger);
 void ss_ledger_finish (SsLedger *ledger);
 
-/* ss_ledger_add: records a new write as pending.  PARTNER may be NULL.  The
- * ledger owns the result.
+/* ss_ledger_add: records a new write as pending.  SECOND_KEY may be NULL.
+ * The ledger owns the result.
  */
 SsLedgerWrite *ss_ledger_add (SsLedger *ledger, const char *key,
                               const char *second_key);
--- a/bench/load.h
+++ b/bench/load.h
@@ -72,7 +72,8 @@
   int64_t op_started_ms;
   int64_t must_see_ms;     /* session reads see writes acknowledged by then */
   int64_t token_covers_ms; /* must_see_ms of the session that gave the token */
-  bool may_be_absent;      /* no guarantee: may be another identity's write */
+  bool may_be_absent; /* expected_write may be of another identity, for which
+                         nothing is guaranteed */
   int64_t attempt_started_ms;
   int64_t step_started_us;
   int32_t rows;
--- a/bench/load_ops.c
+++ b/bench/load_ops.c
@@ -68,12 +68,12 @@
 
   for (int32_t tries = 0; acknowledged->len && tries < 8; tries++)
     {
-      SsLedgerWrite *f = g_ptr_array_index (
+      SsLedgerWrite *write = g_ptr_array_index (
           acknowledged,
           g_rand_int_range (load.rand, 0, (gint32) acknowledged->len));
 
-      if (f->acknowledged_ms <= bound_ms)
-        return f;
+      if (write->acknowledged_ms <= bound_ms)
+        return write;
     }
   return NULL;
 }
--- a/bench/ss_bench.c
+++ b/bench/ss_bench.c
@@ -50,7 +50,7 @@
   uint64_t completed;
   uint64_t refused;
   uint64_t dropped;    /* arrivals while no connection was idle */
-  double due_arrivals; /* fraction of a statement carries over */
+  double due_arrivals; /* a fraction carries over to the next interval */
   SsLedger ledger;     /* only its latencies are used */
   GArray *refusal_latencies_us;
   int64_t memory_before_kb;
@@ -292,7 +292,7 @@
       "Session settings, as the libpq option \"options\"", "TEXT" },
     { "sql", 0, 0, G_OPTION_ARG_STRING, &bench.sql, "Statement", "SQL" },
     { "callers", 0, 0, G_OPTION_ARG_INT, &bench.callers, "Connections", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Length", "S" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &bench.seconds, "Duration", "S" },
     { "rate", 0, 0, G_OPTION_ARG_INT, &bench.rate,
       "Statements per second (open loop)", "N" },
     { "idle", 0, 0, G_OPTION_ARG_NONE, &bench.idle,
--- a/bench/ss_load.c
+++ b/bench/ss_load.c
@@ -41,9 +41,9 @@
 }
 
 static bool
-detail_contains (const Caller *c, const char *verdict)
+detail_contains (const Caller *c, const char *text)
 {
-  return strstr (c->detail, verdict) != NULL;
+  return strstr (c->detail, text) != NULL;
 }
 
 static void
@@ -301,8 +301,9 @@
 
       c->failed = true;
       g_strlcpy (c->sqlstate, sqlstate ? sqlstate : "", sizeof c->sqlstate);
-      /* Without a DETAIL, the message may have the verdict.  Otherwise an error
-       * with an SQLSTATE comes from the target, which refused the statement.
+      /* Without a DETAIL, the message may have the verdict.  If it has none
+       * either, an SQLSTATE shows that the target rejected the statement, which
+       * then did not run.
        */
       if (!detail)
         detail = strstr (PQresultErrorMessage (r), "verdict=");
@@ -315,9 +316,9 @@
     }
 }
 
-/* The connection to the entry VM is lost.  The pending operation has no
- * verdict, except that it did not run if its COMMIT was not sent, if it only
- * set the request id, or if the VM reported that it is stopping.
+/* Handles the loss of the connection to the entry VM.  The pending operation
+ * may have run, unless its COMMIT or its INSERT was not sent yet or the VM
+ * reported that it is stopping.
  */
 static void
 on_connection_lost (Caller *c)
@@ -561,13 +562,14 @@
       "Address of a vm's admin API", "IP:PORT" },
     { "service", 0, 0, G_OPTION_ARG_STRING, &load.service, "Service", "NAME" },
     { "callers", 0, 0, G_OPTION_ARG_INT, &load.callers, "Callers", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Length", "S" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &load.seconds, "Duration", "S" },
     { "writes", 0, 0, G_OPTION_ARG_INT, &load.write_percent,
       "Share of writes in percent", "P" },
     { "ids", 0, 0, G_OPTION_ARG_INT, &load.id_percent,
-      "Share of writes with a request id", "P" },
+      "Share of writes outside transactions that have an idempotency key",
+      "P" },
     { "transactions", 0, 0, G_OPTION_ARG_INT, &load.transaction_percent,
-      "Share of writes in transactions", "P" },
+      "Share of writes that are transactions of two rows", "P" },
     { "aged", 0, 0, G_OPTION_ARG_INT, &load.bounded_percent,
       "Share of reads with bounded staleness", "P" },
     { "aged-kind", 0, 0, G_OPTION_ARG_STRING, &load.bounded_kind,
--- a/bench/ss_scenario.c
+++ b/bench/ss_scenario.c
@@ -102,7 +102,9 @@
   return found;
 }
 
-/* Returns the process that ARGV[1] and ARGV[2] name, or NULL. */
+/* Returns the process that ARGV[1] and ARGV[2] name, or NULL.  Sets *INDEX to
+ * its index among the VMs or targets.
+ */
 static SsDeployProcess *
 find_process (Run *run, char **argv, uint32_t *index)
 {
@@ -218,7 +220,7 @@
   return true;
 }
 
-/* "link VM JSON" */
+/* "link N JSON": sets the network faults of VM N. */
 static bool
 do_link (Run *run, char **argv)
 {
@@ -238,6 +240,7 @@
   return true;
 }
 
+/* "control primary NAME VALUE", "control target N NAME VALUE" */
 static bool
 do_control (Run *run, char **argv)
 {
@@ -305,7 +308,9 @@
   return fail (run, "no other target became primary in time");
 }
 
-/* "sql VM SQL EXPECTED [conninfo=...]"; "await-sql" retries until it matches */
+/* "sql N SQL EXPECTED [conninfo=...]": runs SQL at VM N.  "await-sql" retries
+ * until the answer matches.
+ */
 static bool
 do_sql (Run *run, char **argv)
 {
@@ -331,7 +336,7 @@
   return ok || fail (run, "unexpected answer to: %s", argv[2]);
 }
 
-/* "ctl VM COMMAND [EXIT-CODE|any]" */
+/* "ctl N COMMAND [EXIT-CODE|any]": runs sapphirectl at VM N. */
 static bool
 do_ctl (Run *run, char **argv)
 {
@@ -352,8 +357,8 @@
   return code == expected_code;
 }
 
-/* "race VM COMMAND VM COMMAND": runs both concurrently and expects that exactly
- * one is accepted.
+/* "race N COMMAND M COMMAND": runs both concurrently, at VMs N and M, and
+ * expects that exactly one is accepted.
  */
 static bool
 do_race (Run *run, char **argv)
--- a/bench/ss_soak.c
+++ b/bench/ss_soak.c
@@ -1,9 +1,11 @@
 /* ss-soak: generates a scenario of random faults from a seed.
  *
  * Faults overlap, have random durations and are all over before the load ends.
- * At most one fault acts on a process at a time; other combinations are not
- * restricted.  ss-scenario runs the scenario.  ss-load checks the consistency
- * guarantees from the callers' results and the targets' contents.
+ * At most one fault acts on a resource (a VM, its link, a target and so on) at
+ * a time, and faults of targets do not overlap with partitions.  Other
+ * combinations are not restricted.  ss-scenario runs the scenario.  ss-load
+ * checks the consistency guarantees from the callers' results and the targets'
+ * contents.
  */
 #include <glib.h>
 #include <stdbool.h>
@@ -22,7 +24,7 @@
  */
 #define FAULT_MAX_MS 4000
 #define FAULT_MIN_MS 50
-/* Tries to find a fault whose resource is free. */
+/* Attempts to choose a fault whose resource is free. */
 #define FAULT_TRIES_MAX 8
 
 static const char *const domains[]
@@ -43,6 +45,7 @@
   RESOURCE_COUNT
 } Resource;
 
+/* The number of VMs, links and so on. */
 static const uint32_t resource_sizes[RESOURCE_COUNT]
     = { VMS, VMS, SERVERS, DOMAINS, 1, 1 };
 
@@ -61,7 +64,7 @@
   int64_t faults_begin_ms;
   int64_t faults_end_ms;
   int32_t seconds;
-  int32_t faults;
+  int32_t fault_count;
 } Soak;
 
 /* The time in which a fault acts on one resource. */
@@ -96,158 +99,163 @@
 /* --- faults --- */
 
 static void
-vm_killed (const FaultWindow *s)
+vm_killed (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "kill vm %u", s->index);
-  add_line (s->soak, s->until_ms, "start vm %u", s->index);
+  add_line (window->soak, window->at_ms, "kill vm %u", window->index);
+  add_line (window->soak, window->until_ms, "start vm %u", window->index);
 }
 
 /* A graceful shutdown takes as long as it needs: the VM is started again after
  * it exits.
  */
 static void
-vm_stopped (const FaultWindow *s)
+vm_stopped (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "stop vm %u", s->index);
-  add_line (s->soak, s->until_ms, "await exit vm %u", s->index);
-  add_line (s->soak, s->until_ms, "start vm %u", s->index);
+  add_line (window->soak, window->at_ms, "stop vm %u", window->index);
+  add_line (window->soak, window->until_ms, "await exit vm %u", window->index);
+  add_line (window->soak, window->until_ms, "start vm %u", window->index);
 }
 
 static void
-vm_frozen (const FaultWindow *s)
+vm_frozen (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "freeze vm %u", s->index);
-  add_line (s->soak, s->until_ms, "thaw vm %u", s->index);
+  add_line (window->soak, window->at_ms, "freeze vm %u", window->index);
+  add_line (window->soak, window->until_ms, "thaw vm %u", window->index);
 }
 
 static void
-target_killed (const FaultWindow *s)
+target_killed (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "kill target %u", s->index);
-  add_line (s->soak, s->until_ms, "start target %u", s->index);
+  add_line (window->soak, window->at_ms, "kill target %u", window->index);
+  add_line (window->soak, window->until_ms, "start target %u", window->index);
 }
 
 static void
-target_frozen (const FaultWindow *s)
+target_frozen (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "freeze target %u", s->index);
-  add_line (s->soak, s->until_ms, "thaw target %u", s->index);
+  add_line (window->soak, window->at_ms, "freeze target %u", window->index);
+  add_line (window->soak, window->until_ms, "thaw target %u", window->index);
 }
 
 static void
-target_control (const FaultWindow *s, const char *name, int32_t value)
+target_control (const FaultWindow *window, const char *name, int32_t value)
 {
-  add_line (s->soak, s->at_ms, "control target %u %s %d", s->index, name,
-            value);
-  add_line (s->soak, s->until_ms, "control target %u %s 0", s->index, name);
+  add_line (window->soak, window->at_ms, "control target %u %s %d",
+            window->index, name, value);
+  add_line (window->soak, window->until_ms, "control target %u %s 0",
+            window->index, name);
 }
 
 static void
-target_slow (const FaultWindow *s)
+target_slow (const FaultWindow *window)
 {
-  target_control (s, "slow_ms", random_between (s->soak, 1, 200));
+  target_control (window, "slow_ms", random_between (window->soak, 1, 200));
 }
 
 static void
-target_lagging (const FaultWindow *s)
+target_lagging (const FaultWindow *window)
 {
-  target_control (s, "apply_lag_ms", random_between (s->soak, 1, 1500));
+  target_control (window, "apply_lag_ms",
+                  random_between (window->soak, 1, 1500));
 }
 
 static void
-target_slow_connect (const FaultWindow *s)
+target_slow_connect (const FaultWindow *window)
 {
-  target_control (s, "connect_ms", random_between (s->soak, 1, 500));
+  target_control (window, "connect_ms", random_between (window->soak, 1, 500));
 }
 
 static void
-target_drained (const FaultWindow *s)
+target_drained (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "ctl 0 \"drain target claims-db-%u\" any",
-            s->index + 1);
-  add_line (s->soak, s->until_ms, "ctl 0 \"undrain target claims-db-%u\" any",
-            s->index + 1);
+  add_line (window->soak, window->at_ms,
+            "ctl 0 \"drain target claims-db-%u\" any", window->index + 1);
+  add_line (window->soak, window->until_ms,
+            "ctl 0 \"undrain target claims-db-%u\" any", window->index + 1);
 }
 
 static void
-promotion_ordered (const FaultWindow *s)
+promotion_ordered (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "ctl %d \"promote group claims-db\" any",
-            random_between (s->soak, 0, (int32_t) VMS - 1));
+  add_line (window->soak, window->at_ms,
+            "ctl %d \"promote group claims-db\" any",
+            random_between (window->soak, 0, (int32_t) VMS - 1));
 }
 
 static void
-domain_partitioned (const FaultWindow *s)
+domain_partitioned (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "cut %s", domains[s->index]);
-  add_line (s->soak, s->until_ms, "heal %s", domains[s->index]);
+  add_line (window->soak, window->at_ms, "cut %s", domains[window->index]);
+  add_line (window->soak, window->until_ms, "heal %s", domains[window->index]);
 }
 
 static void
-link_fault (const FaultWindow *s, const char *json)
+link_fault (const FaultWindow *window, const char *json)
 {
-  add_line (s->soak, s->at_ms, "link %u '%s'", s->index, json);
-  add_line (s->soak, s->until_ms, "link %u '{}'", s->index);
+  add_line (window->soak, window->at_ms, "link %u '%s'", window->index, json);
+  add_line (window->soak, window->until_ms, "link %u '{}'", window->index);
 }
 
 static void
-link_delayed (const FaultWindow *s)
+link_delayed (const FaultWindow *window)
 {
   char json[48];
 
   g_snprintf (json, sizeof json, "{\"delay_ms\":%d}",
-              random_between (s->soak, 1, 400));
-  link_fault (s, json);
+              random_between (window->soak, 1, 400));
+  link_fault (window, json);
 }
 
 static void
-link_silent_in (const FaultWindow *s)
+link_silent_in (const FaultWindow *window)
 {
-  link_fault (s, "{\"silent_in\":true}");
+  link_fault (window, "{\"silent_in\":true}");
 }
 
 static void
-link_silent_out (const FaultWindow *s)
+link_silent_out (const FaultWindow *window)
 {
-  link_fault (s, "{\"silent_out\":true}");
+  link_fault (window, "{\"silent_out\":true}");
 }
 
 static void
-link_reset (const FaultWindow *s)
+link_reset (const FaultWindow *window)
 {
-  add_line (s->soak, s->at_ms, "link %u '{\"reset\":true}'", s->index);
+  add_line (window->soak, window->at_ms, "link %u '{\"reset\":true}'",
+            window->index);
 }
 
 static void
-platform_fault (const FaultWindow *s, const char *name, const char *value,
+platform_fault (const FaultWindow *window, const char *name, const char *value,
                 const char *normal_value)
 {
-  add_line (s->soak, s->at_ms, "platform '{\"%s\":%s}'", name, value);
-  add_line (s->soak, s->until_ms, "platform '{\"%s\":%s}'", name, normal_value);
+  add_line (window->soak, window->at_ms, "platform '{\"%s\":%s}'", name, value);
+  add_line (window->soak, window->until_ms, "platform '{\"%s\":%s}'", name,
+            normal_value);
 }
 
 static void
-platform_down (const FaultWindow *s)
+platform_down (const FaultWindow *window)
 {
-  platform_fault (s, "down", "true", "false");
+  platform_fault (window, "down", "true", "false");
 }
 
 static void
-platform_slow (const FaultWindow *s)
+platform_slow (const FaultWindow *window)
 {
   char value[16];
 
-  g_snprintf (value, sizeof value, "%d", random_between (s->soak, 1, 800));
-  platform_fault (s, "slow_ms", value, "0");
+  g_snprintf (value, sizeof value, "%d", random_between (window->soak, 1, 800));
+  platform_fault (window, "slow_ms", value, "0");
 }
 
 static void
-platform_lost_responses (const FaultWindow *s)
+platform_lost_responses (const FaultWindow *window)
 {
   char value[16];
 
-  g_snprintf (value, sizeof value, "%d", random_between (s->soak, 1, 4));
-  platform_fault (s, "lose_after_effect", value, "0");
+  g_snprintf (value, sizeof value, "%d", random_between (window->soak, 1, 4));
+  platform_fault (window, "lose_after_effect", value, "0");
 }
 
 typedef struct
@@ -308,7 +316,8 @@
 }
 
 /* ss-standin-network supports one partitioned failure domain at a time.  A
- * partitioned target has to run to be told that the partition has healed.
+ * target has to run when the partition begins and heals, because a statement
+ * tells it so; faults of targets therefore do not overlap with partitions.
  */
 static bool
 is_free (const Soak *soak, const Fault *fault, uint32_t index, int64_t at_ms)
@@ -322,25 +331,28 @@
          || !is_any_busy (soak, RESOURCE_DOMAIN, at_ms);
 }
 
+/* Returns false if the chosen resource is busy at AT_MS. */
 static bool
 plan_fault (Soak *soak, int64_t at_ms)
 {
   const Fault *fault = choose_fault (soak);
-  FaultWindow s = { .soak = soak, .at_ms = at_ms };
+  FaultWindow window = { .soak = soak, .at_ms = at_ms };
 
-  s.index = (uint32_t) g_rand_int_range (
+  window.index = (uint32_t) g_rand_int_range (
       soak->rand, 0, (gint32) resource_sizes[fault->resource]);
-  s.until_ms = MIN (at_ms + random_between (soak, FAULT_MIN_MS, FAULT_MAX_MS),
-                    soak->faults_end_ms);
-  if (!is_free (soak, fault, s.index, at_ms))
+  window.until_ms
+      = MIN (at_ms + random_between (soak, FAULT_MIN_MS, FAULT_MAX_MS),
+             soak->faults_end_ms);
+  if (!is_free (soak, fault, window.index, at_ms))
     return false;
-  soak->busy_until_ms[fault->resource][s.index] = s.until_ms + FAULT_MIN_MS;
-  fault->schedule (&s);
+  soak->busy_until_ms[fault->resource][window.index]
+      = window.until_ms + FAULT_MIN_MS;
+  fault->schedule (&window);
   return true;
 }
 
 static int
-compare_times (gconstpointer a, gconstpointer b)
+compare_lines (gconstpointer a, gconstpointer b)
 {
   const Line *x = *(Line *const *) a;
   const Line *y = *(Line *const *) b;
@@ -367,7 +379,7 @@
 {
   GArray *times = g_array_new (FALSE, FALSE, sizeof (int64_t));
 
-  for (int32_t i = 0; i < soak->faults; i++)
+  for (int32_t i = 0; i < soak->fault_count; i++)
     {
       int64_t at_ms
           = random_between (soak, (int32_t) soak->faults_begin_ms,
@@ -381,7 +393,7 @@
       if (plan_fault (soak, g_array_index (times, int64_t, i)))
         break;
   g_array_free (times, TRUE);
-  g_ptr_array_sort (soak->lines, compare_times);
+  g_ptr_array_sort (soak->lines, compare_lines);
 }
 
 static void
@@ -400,8 +412,8 @@
     }
 }
 
-/* Prints the checks that hold in every run, and that each VM accepts writes
- * again.
+/* Prints the checks that every run has to pass, and a check that each VM
+ * accepts writes again.
  */
 static void
 print_checks (void)
@@ -424,7 +436,7 @@
 print_scenario (Soak *soak, int32_t seed)
 {
   printf ("# ss-soak --seconds %d --faults %d %d\n", soak->seconds,
-          soak->faults, seed);
+          soak->fault_count, seed);
   printf ("deployment vms=%d servers=%d\n", VMS_PER_DOMAIN, SERVERS);
   printf ("load callers=16 seconds=%d writes=50 transactions=%d ids=%d "
           "roam=10 tokens=50 think-ms=4 seed=%d\n",
@@ -447,11 +459,12 @@
 int
 main (int argc, char **argv)
 {
-  Soak soak = { .seconds = 14, .faults = 8, .faults_begin_ms = QUIET_START_MS };
+  Soak soak
+      = { .seconds = 14, .fault_count = 8, .faults_begin_ms = QUIET_START_MS };
   const GOptionEntry options[] = {
     { "seconds", 0, 0, G_OPTION_ARG_INT, &soak.seconds, "Duration of the load",
       "S" },
-    { "faults", 0, 0, G_OPTION_ARG_INT, &soak.faults,
+    { "faults", 0, 0, G_OPTION_ARG_INT, &soak.fault_count,
       "Maximum number of faults", "N" },
     { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL },
   };
@@ -461,13 +474,13 @@
 
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, &error) || argc != 2
-      || soak.faults < 0
+      || soak.fault_count < 0
       || soak.seconds * 1000 <= QUIET_START_MS + QUIET_END_MS)
     {
       fprintf (stderr, "ss-soak: %s\n",
                error ? error->message
-                     : "needs one seed, no negative number of faults, and 5 "
-                       "seconds or more");
+                     : "expected one SEED, --faults of 0 or more and "
+                       "--seconds of 5 or more");
       return 2;
     }
   g_option_context_free (context);
--- a/bench/variants.sh
+++ b/bench/variants.sh
@@ -6,7 +6,7 @@
 #
 # SITE.toml is not changed; its variants are written into DIR, which has to be
 # outside of the repository.  DAY defaults to trouble-1.  Prints a line for
-# each variant: worth, served share, broken rules.  Ends with 1 if a rule was
+# each variant: worth, served share, broken rules.  Exits with 1 if a rule was
 # broken or a day did not run.
 set -eu
 
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Installs the packages of the build and the tests if any is missing.
 set -eu
-missing() {
+all_installed() {
   command -v g++ && command -v pkg-config && command -v curl \
     && pkg-config --exists glib-2.0 jansson libcurl libmicrohttpd libpq \
       libprotobuf-c libxxhash \
@@ -9,7 +9,7 @@
     && [ -e /usr/include/CUnit/CUnit.h ] && command -v clang-tidy \
     && command -v clang-format
 }
-if missing >/dev/null 2>&1; then
+if all_installed >/dev/null 2>&1; then
   exit 0
 fi
 export DEBIAN_FRONTEND=noninteractive
--- a/standin/log_receiver.c
+++ b/standin/log_receiver.c
@@ -80,8 +80,8 @@
     send_request (receiver);
 }
 
-/* Returns false if the server has since received a later term or another
- * primary, or is partitioned.  Data on the connection is then discarded.
+/* Returns false if the server has since received a later term, follows another
+ * primary or is partitioned.  Data on the connection is then discarded.
  */
 static bool
 is_current (const SsLogReceiver *receiver)
--- a/standin/network.c
+++ b/standin/network.c
@@ -8,8 +8,8 @@
  *
  * POST /link sets the faults of the address "ip".  "delay_ms" delays data in
  * both directions, in milliseconds.  "silent_in" and "silent_out" withhold the
- * data to the address and from it.  "reset": true closes its open connections
- * once.
+ * data to the address and from it.  A request replaces all earlier faults of
+ * the address.  "reset": true closes its open connections once.
  */
 #include <ev.h>
 #include <jansson.h>
@@ -338,8 +338,8 @@
 
   if (argc < 4)
     {
-      fprintf (stderr, "usage: ss-standin-network CONTROL-IP PORT "
-                       "LISTEN:PORT=IP:PORT...\n");
+      fprintf (stderr, "usage: ss-standin-network CONTROL-IP CONTROL-PORT "
+                       "LISTEN-IP:PORT=IP:PORT...\n");
       return 2;
     }
   net.loop = ev_default_loop (0);
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -45,8 +45,8 @@
   GPtrArray *pending_requests;
   bool down;
   int64_t slow_ms;
-  int64_t lose_after_effect; /* responses to updates that are still to be lost
-                                after the update has taken effect */
+  int64_t lose_after_effect; /* number of further updates that take effect but
+                                get no response */
   int64_t vms_lag_ms;
   GHashTable *partitioned_ips; /* clients whose requests get no response for
                                   1 h, as in a network partition */
--- a/standin/server.c
+++ b/standin/server.c
@@ -160,8 +160,8 @@
                       const uint64_t *terms, const char *const *payloads,
                       uint32_t count)
 {
-  /* The server that responded is not the primary of the followed term.  This is
-   * no response of the primary, so last_response_ms stays.
+  /* The server that responded is not the primary of the followed term, so
+   * last_response_ms does not change.
    */
   if (strcmp (outcome, "refused") == 0)
     return;
--- a/standin/server.h
+++ b/standin/server.h
@@ -17,7 +17,7 @@
   SS_ROLE_FENCED
 } SsRole;
 
-/* Seeded defects: a server with one of them shows that the checks detect it. */
+/* Seeded defects, to test that the checks of the soak test detect them. */
 #define SS_DEFECTS(X)                                                          \
   X (NONE, "none")                                                             \
   X (APPLIED, "applied") /* reports its whole log as applied */                \
@@ -53,11 +53,13 @@
   GPtrArray *sessions; /* of SsSqlSession */
   FILE *term_file;     /* NULL: shown_term is kept in memory only */
 
-  int64_t apply_lag_ms;
-  int64_t connect_ms;
-  int64_t slow_ms;
+  /* faults set by sapphirestair_control */
+  int64_t apply_lag_ms; /* delay before a replica applies an entry */
+  int64_t connect_ms;   /* delay of new connections */
+  int64_t slow_ms;      /* delay of each query */
   int64_t max_connections;
   bool partitioned; /* for replication, in both directions */
+
   SsDefect defect;
   uint32_t defect_calls;
 } SsServer;
@@ -106,7 +108,8 @@
 bool ss_server_is_following (const SsServer *server);
 /* ss_server_handle_log: handles the primary's response to a request for the log
  * after server->fetch_after.  OUTCOME is "ok", "mismatch" if the terms at that
- * position differ, or "refused".  TERMS and PAYLOADS hold COUNT entries.
+ * position differ, or "refused" if the sender is not the primary of the
+ * followed term.  TERMS and PAYLOADS hold COUNT entries.
  */
 void ss_server_handle_log (SsServer *server, const char *outcome,
                            const uint64_t *terms, const char *const *payloads,
--- a/standin/session.c
+++ b/standin/session.c
@@ -5,7 +5,7 @@
 #include "plugins/pgwire.h"
 #include "standin/sql.h"
 
-/* A defect affects one in so many commits or values. */
+/* A defect affects one of this many commits or values. */
 #define COMMIT_DEFECT_PERIOD 20
 #define VALUE_DEFECT_PERIOD 50
 
@@ -294,7 +294,7 @@
 }
 
 static void
-put_result (SsSqlSession *c, bool ok)
+put_accepted (SsSqlSession *c, bool ok)
 {
   static const char *const names[] = { "accepted" };
   const char *cell = ok ? "t" : "f";
@@ -345,6 +345,10 @@
   return g_ascii_strtoull (q->arguments[i], NULL, 10);
 }
 
+/* Arguments: followed term; position and term of the replica's last entry;
+ * batch size, which is ignored (500 entries at most are sent); wait in
+ * milliseconds.
+ */
 static void
 call_log (SsSqlSession *c, const SsSql *q)
 {
@@ -370,12 +374,12 @@
   if (is_call (q, "sapphirestair_status", 0))
     call_status (c);
   else if (is_call (q, "sapphirestair_raise", 1))
-    put_result (c, ss_server_raise_term (s, number_argument (q, 0)));
+    put_accepted (c, ss_server_raise_term (s, number_argument (q, 0)));
   else if (is_call (q, "sapphirestair_promote", 1))
-    put_result (c, ss_server_promote (s, number_argument (q, 0)));
+    put_accepted (c, ss_server_promote (s, number_argument (q, 0)));
   else if (is_call (q, "sapphirestair_follow", 3))
-    put_result (c, ss_server_follow (s, number_argument (q, 0), q->arguments[1],
-                                     q->arguments[2]));
+    put_accepted (c, ss_server_follow (s, number_argument (q, 0),
+                                       q->arguments[1], q->arguments[2]));
   else if (is_call (q, "sapphirestair_log", 5))
     call_log (c, q);
   else if (is_call (q, "sapphirestair_control", 2))
--- a/standin/session.h
+++ b/standin/session.h
@@ -16,9 +16,12 @@
 typedef struct
 {
   SsServer *server;
-  GByteArray *out;     /* receives the responses; set before each call;
-                       borrowed */
-  bool is_replication; /* connection of a replica; not limited in number */
+  GByteArray *out; /* receives the responses; set before each call;
+                   borrowed */
+  /* The user is "replication" (a replica or a test tool): the connection is not
+   * limited in number nor delayed, and positions applied are not reported.
+   */
+  bool is_replication;
   /* request of a replica for the log */
   bool waits_for_log;
   int64_t log_due_ms;    /* time by which it is answered */
@@ -27,7 +30,7 @@
   uint64_t replica_follow_term;
   char status; /* transaction status: I, T or E */
   bool read_only;
-  GPtrArray *ops; /* SsOp, of the open transaction */
+  GPtrArray *ops; /* of SsOp; changes of the open transaction */
   uint64_t last_reported_applied;
   uint64_t unreported_commit; /* position; 0: none */
   /* result of the last message */
@@ -43,8 +46,8 @@
 void ss_sql_session_finish (SsSqlSession *session);
 
 /* ss_sql_session_run: executes one simple query message.  Appends the response
- * to session->out; if the session then waits for the log, it lacks the result
- * of the log request and ReadyForQuery.
+ * to session->out.  If the session then waits for the log, the result of the
+ * log request and ReadyForQuery are still missing from the response.
  */
 void ss_sql_session_run (SsSqlSession *session, const char *text);
 /* ss_sql_session_answer_log: answers a replica's request for the log, without
--- a/standin/store.c
+++ b/standin/store.c
@@ -107,8 +107,8 @@
 }
 
 /* The file has one line for each change: "eTERM PAYLOAD" appends an entry,
- * "tCOUNT" truncates the log to COUNT entries.  A last line without a line end
- * was not written whole and is ignored.
+ * "tCOUNT" truncates the log to COUNT entries.  A last line without a newline
+ * is incomplete and is ignored.
  */
 static void
 load_file (SsStore *s, const char *path)
