--- a/bench/failover.sh
+++ b/bench/failover.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Measures the failover gap over RUNS runs each of a crash, a freeze and a
+# Measures the failover gap and the times of detection and promotion, and counts
+# lost, duplicated and stale rows, over RUNS runs each of a crash, a freeze and a
 # network partition of the primary, PARALLEL at a time.  Then delays each
 # statement at the primary by 1 s for 4 s, which must not cause a promotion.
 set -eu
--- a/scripts/check-platform.sh
+++ b/scripts/check-platform.sh
@@ -1,6 +1,8 @@
 #!/bin/sh
 # Checks that the platform's names, formats and calls appear only in platform/
-# and deploy/, and that src/ includes no header of platform/.
+# and deploy/, and that src/ includes no header of platform/.  Three parts of src/
+# may have them: platform_http.c, a client of the platform's object API, and
+# admin_http.c and src/ctl/, whose admin API also has paths under /v1/.
 set -eu
 cd "$(dirname "$0")/.."
 patterns='/v1/|/promotions|Duty-Holder|Fencing-Token|Expected-Instance|WAITFOR|STEPDOWN|DEALLOC |sapphirestair-(groups|vms|duties)|max_conns|at_rev|sync_replicas|bounded_staleness|fleetbench'
